--- a/bench/Policies.cpp
+++ b/bench/Policies.cpp
@@ -25,7 +25,7 @@
 
 struct Variant {
   const char *Name;
-  Chooser::Policy Choose;
+  LoadBalancer::Policy Choose;
   bool DropLate;
   // As the service's and retry records say it.
   const char *Queue;
@@ -33,19 +33,19 @@
 };
 
 const Variant Variants[] = {
-    {"ours", Chooser::Policy::Soonest, true, "queue=20:queue_wait_ms=300",
-     "attempts=3:budget_percent=10"},
-    {"hot", Chooser::Policy::Hot, true, "queue=20:queue_wait_ms=300",
+    {"ours", LoadBalancer::Policy::ShortestExpectedTime, true,
+     "queue=20:queue_wait_ms=300", "attempts=3:budget_percent=10"},
+    {"hot", LoadBalancer::Policy::HotCold, true, "queue=20:queue_wait_ms=300",
      "attempts=3:budget_percent=10"},
-    {"random", Chooser::Policy::Random, true, "queue=20:queue_wait_ms=300",
+    {"random", LoadBalancer::Policy::Random, true, "queue=20:queue_wait_ms=300",
      "attempts=3:budget_percent=10"},
-    {"round-robin", Chooser::Policy::RoundRobin, true,
+    {"round-robin", LoadBalancer::Policy::RoundRobin, true,
      "queue=20:queue_wait_ms=300", "attempts=3:budget_percent=10"},
-    {"least-loaded", Chooser::Policy::LeastLoaded, true,
+    {"least-loaded", LoadBalancer::Policy::LeastLoaded, true,
      "queue=20:queue_wait_ms=300", "attempts=3:budget_percent=10"},
-    {"no-queue-limit", Chooser::Policy::Soonest, false,
+    {"no-queue-limit", LoadBalancer::Policy::ShortestExpectedTime, false,
      "queue=100000:queue_wait_ms=3600000", "attempts=3:budget_percent=10"},
-    {"eager-retry", Chooser::Policy::Soonest, true,
+    {"eager-retry", LoadBalancer::Policy::ShortestExpectedTime, true,
      "queue=20:queue_wait_ms=300", "attempts=10:budget_percent=100"},
 };
 
@@ -53,7 +53,7 @@
   World::Options Opts;
   Opts.Seed = 7;
   Opts.Guards.DropLate = Of.DropLate;
-  Opts.Node.CallEntry.Choose.How = Of.Choose;
+  Opts.Node.CallEntry.Choose.SelectionPolicy = Of.Choose;
   World All(Opts);
   for (unsigned I = 0; I < Entries; ++I)
     All.addNode("a-" + std::to_string(I), "north", "a");
--- a/src/calls/CallsTest.cpp
+++ b/src/calls/CallsTest.cpp
@@ -1,7 +1,7 @@
 #include "calls/Body.h"
 #include "calls/Message.h"
 #include "cli/Views.h"
-#include "routing/Chooser.h"
+#include "routing/LoadBalancer.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -139,12 +139,12 @@
 
 BOOST_AUTO_TEST_CASE(OwnFirstThenTheDataCentreThenOthers) {
   std::vector<Instance> All = twoPlaces();
-  Chooser Own({}, "north", "n-2", 1);
+  LoadBalancer Own({}, "north", "n-2", 1);
   BOOST_TEST(Own.pick(pointers(All), {}, Start)->Name == "n-2");
   // Full, and the wait for a slot is longer than the way to another.
-  Own.learn("n-2", wire::Load(10, 0, 10, 100000), Start);
+  Own.recordLoad("n-2", wire::Load(10, 0, 10, 100000), Start);
   BOOST_TEST(Own.pick(pointers(All), {}, Start)->Name != "n-2");
-  Chooser Other({}, "north", "x-1", 1);
+  LoadBalancer Other({}, "north", "x-1", 1);
   for (int I = 0; I < 50; ++I)
     BOOST_TEST(Other.pick(pointers(All), {}, Start)->DataCentre == "north");
   BOOST_TEST(
@@ -157,8 +157,8 @@
 BOOST_AUTO_TEST_CASE(LeavingAndDrainingAreLeftOut) {
   std::vector<Instance> All = twoPlaces();
   All[0].Leaving = true;
-  Chooser Choose({}, "north", "x-1", 1);
-  Choose.draining("n-2");
+  LoadBalancer Choose({}, "north", "x-1", 1);
+  Choose.markDraining("n-2");
   for (int I = 0; I < 50; ++I)
     BOOST_TEST(Choose.pick(pointers(All), {}, Start)->Name == "n-3");
 }
@@ -167,11 +167,11 @@
 // nobody would be served once it is back.
 BOOST_AUTO_TEST_CASE(NotEveryoneIsEjected) {
   std::vector<Instance> All = twoPlaces();
-  Chooser Choose({}, "north", "x-1", 1);
+  LoadBalancer Choose({}, "north", "x-1", 1);
   for (const Instance &One : All)
     for (int I = 0; I < 5; ++I) {
-      Choose.started(One.Name);
-      Choose.ended(One.Name, /*Answered=*/false, Millis(1), Start);
+      Choose.recordStart(One.Name);
+      Choose.recordEnd(One.Name, /*Answered=*/false, Millis(1), Start);
     }
   BOOST_TEST(Choose.isEjected("n-1", Start));
   BOOST_TEST(Choose.pick(pointers(All), {}, Start));
@@ -179,9 +179,9 @@
 
 BOOST_AUTO_TEST_CASE(OneBadGateIsEjectedAndComesBack) {
   std::vector<Instance> All = twoPlaces();
-  Chooser Choose({}, "north", "x-1", 1);
+  LoadBalancer Choose({}, "north", "x-1", 1);
   for (int I = 0; I < 3; ++I)
-    Choose.ended("n-1", /*Answered=*/false, Millis(1), Start);
+    Choose.recordEnd("n-1", /*Answered=*/false, Millis(1), Start);
   for (int I = 0; I < 50; ++I)
     BOOST_TEST(Choose.pick(pointers(All), {}, Start)->Name != "n-1");
   bool Back = false;
@@ -194,8 +194,8 @@
   RetryBudget Budget(/*Reserve=*/2);
   int Retries = 0;
   for (int I = 0; I < 1000; ++I) {
-    Budget.firstTry(10);
-    Retries += Budget.retry(Start);
+    Budget.recordFirstTry(10);
+    Retries += Budget.spendRetry(Start);
   }
   BOOST_TEST(Retries <= 102);
   BOOST_TEST(Retries >= 98);
--- a/src/calls/Entry.cpp
+++ b/src/calls/Entry.cpp
@@ -44,10 +44,10 @@
          Why.Reason.rfind(UpstreamReason, 0) == 0;
 }
 
-Chooser::Want wantOf(const RequestHead &Head, const Route &Taken) {
-  Chooser::Want Out;
+LoadBalancer::CallInfo wantOf(const RequestHead &Head, const Route &Taken) {
+  LoadBalancer::CallInfo Out;
   Out.BodyBytes = static_cast<uint64_t>(std::max<int64_t>(0, Head.Length));
-  Out.Target = Taken.TargetLatency;
+  Out.TargetLatency = Taken.TargetLatency;
   Out.Route = Taken.Name;
   return Out;
 }
@@ -95,9 +95,9 @@
     for (const auto &[Name, One] : this->InForce->services())
       for (const Instance *Up : this->Fleet.upstreams(Name)) {
         Listed.insert(Up->Name);
-        this->Choose.listed(*Up);
+        this->Choose.updateInstance(*Up);
       }
-  this->Choose.keepOnly(Listed);
+  this->Choose.retainOnly(Listed);
 }
 
 // A keyed call has one place to go, on trial or not: the gate that remembers
@@ -112,7 +112,7 @@
   }
   if (One.OnTrial)
     return this->trialGate(One, Now);
-  return this->Choose.pick(this->Fleet.openUpstreams(One.Target->Name),
+  return this->Choose.pick(this->Fleet.routableUpstreams(One.Target->Name),
                            One.Tried, Now, wantOf(One.Head, *One.Taken));
 }
 
@@ -121,8 +121,8 @@
 // cannot crash an upstream each.
 const Instance *Entry::trialGate(const Call &One, TimePoint Now) const {
   std::vector<const Instance *> Open;
-  for (const Instance *Up : this->Fleet.openUpstreams(One.Target->Name))
-    if (this->Choose.isOpen(*Up, Now))
+  for (const Instance *Up : this->Fleet.routableUpstreams(One.Target->Name))
+    if (this->Choose.isAvailable(*Up, Now))
       Open.push_back(Up);
   const Instance *Home = keyHome(One.Print.text(), Open);
   return Home && One.Tried.count(Home->Name) ? nullptr : Home;
@@ -156,8 +156,8 @@
     return;
   if (One.LastRefusal)
     return this->giveUp(Caller, *One.LastRefusal, Now);
-  const auto &Open = this->Fleet.openUpstreams(One.Target->Name);
-  std::optional<Millis> Soonest = this->Choose.soonest(Open, Now);
+  const auto &Open = this->Fleet.routableUpstreams(One.Target->Name);
+  std::optional<Millis> Soonest = this->Choose.shortestRetryAfter(Open, Now);
   bool Listed = !this->Fleet.upstreams(One.Target->Name).empty();
   const char *Reason = !Listed        ? "no-upstream"
                        : Open.empty() ? "evacuated"
@@ -178,7 +178,7 @@
   // A new id for each gate: a late copy at the last one is never this one.
   One.Id = {this->Opts.Incarnation, ++this->LastSeq};
   this->BySeq[One.Id.Seq] = Caller;
-  this->Choose.started(Gate.Name);
+  this->Choose.recordStart(Gate.Name);
   Link &On = this->Links[Gate.Name];
   // What was lost before concerns nobody any more: a new search starts afresh.
   if (On.Calls.empty())
@@ -306,7 +306,7 @@
                       TimePoint Now) {
   if (One.Gate.empty())
     return;
-  this->Choose.ended(One.Gate, Answered, Now - One.StartedAt, Now);
+  this->Choose.recordEnd(One.Gate, Answered, Now - One.StartedAt, Now);
   Link &On = this->Links[One.Gate];
   On.Calls.erase(Caller);
   On.UsedAt = Now;
@@ -385,7 +385,7 @@
     return false;
   // The budget guards upstreams. A call that none of them saw is still to be
   // tried for the first time.
-  return !Reached || this->budgetOf(One).retry(Now);
+  return !Reached || this->budgetOf(One).spendRetry(Now);
 }
 
 // No node knows what the others spend. So each has a fixed part of the whole: a
--- a/src/calls/Entry.h
+++ b/src/calls/Entry.h
@@ -7,10 +7,10 @@
 #include "config/Config.h"
 #include "membership/Membership.h"
 #include "quarantine/Quarantine.h"
-#include "routing/AgeEstimate.h"
-#include "routing/Chooser.h"
-#include "routing/SplitTurns.h"
-#include "routing/TurnRank.h"
+#include "routing/LoadBalancer.h"
+#include "routing/NodeRank.h"
+#include "routing/RequestAgeEstimator.h"
+#include "routing/TrafficSplitter.h"
 
 #include <functional>
 #include <map>
@@ -119,9 +119,9 @@
     /// this run to their deadlines.
     size_t MaxOrphans = 1000;
     /// Of the choice among gates.
-    Chooser::Options Choose;
+    LoadBalancer::Options Choose;
     /// Of the order of this node's calls at gates that are short of room.
-    TurnRank::Options Rank;
+    NodeRank::Options Rank;
     /// All on, but in scenarios.
     Safeguards Guards;
   };
@@ -220,7 +220,7 @@
   void paused(TimePoint Now);
   void tick(TimePoint Now);
   const Counters &counters() const { return this->Counts; }
-  const Chooser &chooser() const { return this->Choose; }
+  const LoadBalancer &chooser() const { return this->Choose; }
 
 private:
   enum class State {
@@ -372,7 +372,7 @@
   Options Opts;
   Hooks Hook;
   const Membership &Fleet;
-  Chooser Choose;
+  LoadBalancer Choose;
   ConfigPtr InForce;
   std::map<CallerId, Call> Calls;
   // When each call is to be given up; one that is over is passed over.
@@ -382,9 +382,9 @@
   std::map<uint64_t, CallerId> LeftBySeq;
   std::map<std::string, Link> Links;
   std::map<std::string, RetryBudget> Budgets;
-  SplitTurns Turns;
-  AgeEstimate Ages;
-  TurnRank Rank;
+  TrafficSplitter Turns;
+  RequestAgeEstimator Ages;
+  NodeRank Rank;
   uint64_t LastSeq = 0;
   bool Draining = false;
   TimePoint GraceUntil;
--- a/src/calls/EntryAnswers.cpp
+++ b/src/calls/EntryAnswers.cpp
@@ -48,7 +48,7 @@
   if (const auto *Credit = Frame.payload.AsCredit())
     return this->onCredit(Gate, *Credit, Now);
   if (Frame.payload.AsDraining())
-    return this->Choose.draining(Gate);
+    return this->Choose.markDraining(Gate);
   if (const auto *Pong = Frame.payload.AsPong())
     return this->onPong(Gate, On, *Pong, Now);
   if (const auto *Ping = Frame.payload.AsPing()) {
@@ -61,12 +61,13 @@
 void Entry::onPong(const std::string &Gate, Link &On, const wire::PongT &Pong,
                    TimePoint Now) {
   if (Pong.load)
-    this->Choose.learn(Gate, *Pong.load, Now);
-  Pong.draining ? this->Choose.draining(Gate) : this->Choose.ready(Gate);
+    this->Choose.recordLoad(Gate, *Pong.load, Now);
+  Pong.draining ? this->Choose.markDraining(Gate)
+                : this->Choose.clearDraining(Gate);
   if (Pong.gone)
-    this->Choose.unreachable(Gate, Now);
+    this->Choose.markUnreachable(Gate, Now);
   else if (On.Gone)
-    this->Choose.reachable(Gate);
+    this->Choose.markReachable(Gate);
   On.Gone = Pong.gone;
 }
 
@@ -80,16 +81,16 @@
     return;
   auto Took = std::chrono::duration_cast<Micros>(Now - One.SentAt);
   if (LongBody)
-    return this->Choose.carriedBody(
+    return this->Choose.recordBodyTransfer(
         Gate, std::max(Micros(0), Took - Micros(Head.ran_us)), Now);
   Micros AtGate = Micros(Head.ran_us) + Micros(Head.waited_us);
-  this->Choose.cameBack(Gate, std::max(Micros(0), Took - AtGate), Now);
+  this->Choose.recordRtt(Gate, std::max(Micros(0), Took - AtGate), Now);
 }
 
 void Entry::onHead(const std::string &Gate, const wire::HeadT &Head,
                    TimePoint Now) {
   if (Head.load)
-    this->Choose.learn(Gate, *Head.load, Now);
+    this->Choose.recordLoad(Gate, *Head.load, Now);
   std::optional<CallerId> Caller = this->callOn(Gate, Head.seq);
   if (!Caller)
     return;
@@ -99,10 +100,10 @@
   One.HaveHead = true;
   this->dropLeft(One);
   bool Failure = Head.status >= FirstServerError;
-  this->Choose.judged(Gate, Failure, Now);
+  this->Choose.recordOutcome(Gate, Failure, Now);
   // A failure says nothing about how long an answer takes.
   if (!Failure && Head.ran_us > 0)
-    this->Choose.ran(Gate, One.Taken->Name, Micros(Head.ran_us), Now);
+    this->Choose.recordRunTime(Gate, One.Taken->Name, Micros(Head.ran_us), Now);
   this->learnWay(Gate, One, Head, Now);
   ResponseHead Answer;
   Answer.Status = Head.status;
@@ -145,7 +146,7 @@
 void Entry::onFailed(const std::string &Gate, const wire::FailedT &Failed,
                      TimePoint Now) {
   if (Failed.load)
-    this->Choose.learn(Gate, *Failed.load, Now);
+    this->Choose.recordLoad(Gate, *Failed.load, Now);
   Refusal Why;
   Why.What = Failed.outcome == wire::Outcome::NotRun ? Outcome::NotRun
                                                      : Outcome::Unknown;
@@ -155,15 +156,15 @@
   Why.RetryAfter = Millis(Failed.retry_after_ms);
   Why.Status = Failed.status;
   if (Why.Reason == "draining")
-    this->Choose.draining(Gate);
+    this->Choose.markDraining(Gate);
   // The list is behind: something else stands there now.
   if (Why.Reason == "not-my-service" || Why.Reason == "upstream-replaced")
-    this->Choose.unreachable(Gate, Now);
+    this->Choose.markUnreachable(Gate, Now);
   if (Why.Reason == "overload")
-    this->Choose.refused(Gate, Millis(Failed.room_in_ms), Now);
+    this->Choose.recordRefusal(Gate, Millis(Failed.room_in_ms), Now);
   if (Why.Reason == UpstreamIsGone || Why.Reason == UpstreamCrashed) {
     this->Links[Gate].Gone = true;
-    this->Choose.unreachable(Gate, Now);
+    this->Choose.markUnreachable(Gate, Now);
   }
   // A run that was left is over; the call goes on where it is.
   if (Call *Of = this->leftBy(Gate, Failed.seq)) {
--- a/src/calls/EntryLinks.cpp
+++ b/src/calls/EntryLinks.cpp
@@ -49,8 +49,8 @@
   On.Incarnation = Hello.incarnation;
   On.LostAt.reset();
   On.NextPing = Now + this->Opts.PingInterval;
-  this->Choose.ready(Gate);
-  this->Choose.reachable(Gate);
+  this->Choose.clearDraining(Gate);
+  this->Choose.markReachable(Gate);
   this->settleOrphans(Gate, On, Now);
   for (CallerId Caller : std::set<CallerId>(On.Calls)) {
     Call *Found = this->find(Caller);
@@ -136,7 +136,7 @@
   One.Id = To.Id;
   One.StartedAt = One.SentAt = Now;
   this->BySeq[One.Id.Seq] = Caller;
-  this->Choose.started(To.Gate);
+  this->Choose.recordStart(To.Gate);
   this->Links[To.Gate].Calls.insert(Caller);
   ++this->Counts.Resumed;
   this->note("call-resumed", One, Refusal(), Now);
@@ -145,7 +145,7 @@
 void Entry::gateDown(const std::string &Gate, TimePoint Now) {
   Link &On = this->Links[Gate];
   if (On.ConnectingSince)
-    this->Choose.unreachable(Gate, Now);
+    this->Choose.markUnreachable(Gate, Now);
   On.Up = false;
   On.ConnectingSince.reset();
   this->loseLink(Gate, On, Now);
@@ -217,7 +217,7 @@
   One.Id = To.Id;
   One.StartedAt = Now;
   this->BySeq[One.Id.Seq] = Caller;
-  this->Choose.started(To.Gate);
+  this->Choose.recordStart(To.Gate);
   On.Calls.insert(Caller);
   if (!On.LostAt)
     On.LostAt = Now;
@@ -229,7 +229,7 @@
 void Entry::condemn(const std::string &Gate, Link &On, TimePoint Now) {
   this->Hook.Close(Gate);
   if (On.ConnectingSince)
-    this->Choose.unreachable(Gate, Now);
+    this->Choose.markUnreachable(Gate, Now);
   On.Up = false;
   On.ConnectingSince.reset();
   this->loseLink(Gate, On, Now);
@@ -290,7 +290,7 @@
 
 // The dial goes on for those who search there; who only waits goes elsewhere.
 void Entry::moveWaiting(const std::string &Gate, Link &On, TimePoint Now) {
-  this->Choose.unreachable(Gate, Now);
+  this->Choose.markUnreachable(Gate, Now);
   for (CallerId Caller : std::set<CallerId>(On.Calls)) {
     Call *Found = this->find(Caller);
     if (Found && Found->Now == State::Connecting)
--- a/src/calls/EntryRequests.cpp
+++ b/src/calls/EntryRequests.cpp
@@ -118,7 +118,7 @@
   Call &One = this->Calls.emplace(Caller, this->makeCall(Head, *Taken, Now))
                   .first->second;
   this->Due.emplace(One.Deadline, Caller);
-  this->budgetOf(One).firstTry(
+  this->budgetOf(One).recordFirstTry(
       std::min(Taken->Retry->BudgetPercent, this->Opts.MaxRetryPercent));
   if (Head.Length == 0)
     One.Request.finish();
--- a/src/control/ControlLinks.cpp
+++ b/src/control/ControlLinks.cpp
@@ -15,12 +15,13 @@
 
 /// The kind of a link as the other end names it. What a later build may add is
 /// a link that announces.
-Tie tieOf(uint8_t Named) {
-  bool Known = Named <= static_cast<uint8_t>(Tie::Seed);
-  return Known ? static_cast<Tie>(Named) : Tie::Backup;
+LinkKind tieOf(uint8_t Named) {
+  bool Known = Named <= static_cast<uint8_t>(LinkKind::Seed);
+  return Known ? static_cast<LinkKind>(Named) : LinkKind::Backup;
 }
 
-wire::SpreadFrameT helloFrame(const ControlPlane::Options &Opts, Tie Kind) {
+wire::SpreadFrameT helloFrame(const ControlPlane::Options &Opts,
+                              LinkKind Kind) {
   wire::HelloT Hello;
   Hello.node = Opts.Self;
   Hello.data_centre = Opts.DataCentre;
@@ -71,10 +72,10 @@
   std::map<std::string, Target> Wanted;
   std::vector<LinkId> Outdated;
   auto Want = [&](const Neighbour &One) {
-    auto [At, New] = Wanted.try_emplace(One.Who->Name);
+    auto [At, New] = Wanted.try_emplace(One.Peer->Name);
     if (!New)
       return;
-    At->second.Address = One.Who->Node;
+    At->second.Address = One.Peer->Node;
     At->second.Kind = One.Kind;
     At->second.NextDial = Now;
   };
@@ -82,7 +83,7 @@
     Want(One);
   // Go on trying those whose place others have taken.
   for (const Neighbour &One : this->Fleet.neighbours())
-    if (this->Avoid.count(One.Who->Name))
+    if (this->Avoid.count(One.Peer->Name))
       Want(One);
   // A node that knows no neighbour, or is the only one listed in its data
   // centre, keeps to its seeds: they may know more. So does one that has no
@@ -113,11 +114,11 @@
 // the new parent's greeting.
 void ControlPlane::dropOrKeepLink(LinkId Link, TimePoint Now) {
   const Peer &To = this->Peers.at(Link);
-  bool Usable = To.Greeted && To.Kind != Tie::Seed;
+  bool Usable = To.Greeted && To.Kind != LinkKind::Seed;
   if (!Usable || !this->isAwaitingParentLink())
     return this->drop(Link, Now);
   this->FormerLinks.insert(Link);
-  if (To.Kind != Tie::Tree || this->FormerParentLink)
+  if (To.Kind != LinkKind::Tree || this->FormerParentLink)
     return;
   this->FormerParentLink = Link;
   this->FormerParentValidUntil = Now + this->Opts.FormerParentTimeout;
@@ -141,7 +142,7 @@
     if (!New)
       continue;
     At->second.Address = this->Opts.Seeds.at(Name);
-    At->second.Kind = Tie::Seed;
+    At->second.Kind = LinkKind::Seed;
     At->second.NextDial = Dial;
     Dial += this->Opts.NextSeedAfter;
   }
@@ -203,7 +204,7 @@
   if (From.Target.empty()) {
     From.Kind = tieOf(Hello.tie);
     this->greet(Link, From);
-    if (From.Kind == Tie::Seed)
+    if (From.Kind == LinkKind::Seed)
       this->introduce(Now);
   } else if (auto Found = this->Targets.find(From.Target);
              Found != this->Targets.end()) {
@@ -211,7 +212,7 @@
     if (!this->AvoidSilentUntil.count(From.Target))
       this->stopAvoiding(From.Target);
   }
-  this->Spread.linkUp(Link, From.Name, From.Kind == Tie::Tree, Now);
+  this->Spread.linkUp(Link, From.Name, From.Kind == LinkKind::Tree, Now);
   if (std::optional<wire::SpreadFrameT> Known = this->Hold.all(Now))
     this->Hook.Send(Link, encodeFrame(*Known));
 }
--- a/src/control/ControlPlane.cpp
+++ b/src/control/ControlPlane.cpp
@@ -177,7 +177,7 @@
   Out.IsReader = this->Fleet.isReader(this->Avoid);
   // In a small fleet nodes do not rely on each other for what they can read.
   Out.IsFirst =
-      this->Fleet.allRead() || this->Fleet.readerRank(this->Avoid) == 0;
+      this->Fleet.everyNodeReads() || this->Fleet.readerRank(this->Avoid) == 0;
   // Not before there is a list: until then nobody can have a parent.
   Out.IsOrphan = Out.HasList && this->isOrphan(Now);
   Out.DistrustsParent = this->distrustsParent(Now);
@@ -206,7 +206,7 @@
   return !this->TakenForSeed &&
          std::any_of(
              this->Peers.begin(), this->Peers.end(), [](const auto &One) {
-               return One.second.Greeted && One.second.Kind == Tie::Seed;
+               return One.second.Greeted && One.second.Kind == LinkKind::Seed;
              });
 }
 
@@ -329,7 +329,7 @@
   if (!Root || Root->Name != this->Opts.Self)
     return;
   for (const auto &[Link, To] : this->Peers) {
-    if (!To.Greeted || To.Kind != Tie::Bridge)
+    if (!To.Greeted || To.Kind != LinkKind::Bridge)
       continue;
     wire::FleetExchangeT Said;
     Said.reports.push_back(
@@ -345,7 +345,7 @@
     return this->acceptConfig(Arrived, Now);
   if (Arrived.Topic == EvacuationTopic)
     this->acceptEvacuations(Arrived, Now);
-  else if (!listTopicDataCentre(Arrived.Topic).empty())
+  else if (!dataCentreOfListTopic(Arrived.Topic).empty())
     this->acceptList(Arrived, Now);
   return true;
 }
@@ -353,9 +353,9 @@
 void ControlPlane::acceptEvacuations(const Spreader::Arrival &Arrived,
                                      TimePoint Now) {
   std::set<std::string> Before = this->Fleet.evacuated();
-  std::set<std::string> After = evacuatedIn(*Arrived.Held);
+  std::set<std::string> After = evacuatedDataCentres(*Arrived.Held);
   bool Follows = this->Opts.Spread.Guards.FollowEvacuations;
-  if (!Follows || !this->Fleet.evacuate(After))
+  if (!Follows || !this->Fleet.setEvacuated(After))
     return;
   for (const std::string &One : After)
     if (!Before.count(One))
@@ -391,7 +391,7 @@
 
 void ControlPlane::acceptList(const Spreader::Arrival &Arrived, TimePoint Now) {
   uint64_t Before = this->Fleet.generation();
-  this->Fleet.update(listTopicDataCentre(Arrived.Topic), *Arrived.Held);
+  this->Fleet.update(dataCentreOfListTopic(Arrived.Topic), *Arrived.Held);
   if (this->Fleet.generation() == Before)
     return;
   this->Trail.add(Now, "list",
--- a/src/control/ControlPlane.h
+++ b/src/control/ControlPlane.h
@@ -169,7 +169,7 @@
 private:
   struct Target {
     std::string Address;
-    Tie Kind = Tie::Tree;
+    LinkKind Kind = LinkKind::Tree;
     std::optional<LinkId> Link;
     bool Dialling = false;
     unsigned Failures = 0;
@@ -184,7 +184,7 @@
     // be known by its address alone, and then has another name than its target.
     std::string Target;
     bool Greeted = false;
-    Tie Kind = Tie::Tree;
+    LinkKind Kind = LinkKind::Tree;
   };
 
   void retarget(TimePoint Now);
--- a/src/gate/Admission.cpp
+++ b/src/gate/Admission.cpp
@@ -21,7 +21,7 @@
 // ahead of those of a long one until these could not meet theirs any more (at
 // 1.5 times the capacity callers of the long route had 6 in 1,000 served, and
 // 936 so). Where room is short for calls that runs elsewhere cannot do without,
-// the calls of some nodes stand a little behind, see TurnRank.
+// the calls of some nodes stand a little behind, see NodeRank.
 //
 // The number of slots is the configured one, lowered while the upstream warms
 // up and while it sheds. A shed lowers it at once by a factor and each answer
--- a/src/gate/Admission.h
+++ b/src/gate/Admission.h
@@ -74,7 +74,7 @@
     TimePoint Target = TimePoint::max();
     /// What calls of about the same length have in common.
     std::string Kind;
-    /// Of the node at which it entered, see TurnRank: 0 stands first.
+    /// Of the node at which it entered, see NodeRank: 0 stands first.
     uint8_t Rank = 0;
     /// The route's limit; null for none.
     const Limit *Bound = nullptr;
--- a/src/gate/LoadTest.cpp
+++ b/src/gate/LoadTest.cpp
@@ -1,5 +1,5 @@
 #include "gate/Admission.h"
-#include "routing/TurnRank.h"
+#include "routing/NodeRank.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -131,7 +131,7 @@
     Of.QueueLimit = 100;
     this->At.configure(Of, Start);
     for (uint64_t Node = 0; Node < Nodes; ++Node)
-      this->Ranks.emplace_back(TurnRank::Options(), Node);
+      this->Ranks.emplace_back(NodeRank::Options(), Node);
   }
 
   /// The share of runs that had both of their calls answered.
@@ -199,7 +199,7 @@
 
   bool Ranked;
   Admission At;
-  std::vector<TurnRank> Ranks;
+  std::vector<NodeRank> Ranks;
   double Owed = 0;
   uint64_t Runs = 0;
   uint64_t Whole = 0;
--- a/src/membership/Evacuations.cpp
+++ b/src/membership/Evacuations.cpp
@@ -9,8 +9,8 @@
 
 const char EvacuationTopic[] = "evacuations";
 
-DocumentPtr makeEvacuations(uint64_t Revision,
-                            const std::set<std::string> &DataCentres) {
+DocumentPtr makeEvacuationDocument(uint64_t Revision,
+                                   const std::set<std::string> &DataCentres) {
   EntryMap Entries;
   for (const std::string &One : DataCentres) {
     Json::Value Says(Json::objectValue);
@@ -20,7 +20,7 @@
   return Document::make(Revision, Revision, std::move(Entries));
 }
 
-std::set<std::string> evacuatedIn(const Document &Of) {
+std::set<std::string> evacuatedDataCentres(const Document &Of) {
   std::set<std::string> Out;
   for (const auto &[Name, Entry] : Of.entries())
     Out.insert(Name);
@@ -43,7 +43,7 @@
   if (!Faults.empty())
     return Error{Errc::Invalid, "read-evacuations", "platform",
                  Faults.front().text()};
-  return makeEvacuations(Revision, Out);
+  return makeEvacuationDocument(Revision, Out);
 }
 
 } // namespace hickorylift
--- a/src/membership/Membership.cpp
+++ b/src/membership/Membership.cpp
@@ -38,7 +38,7 @@
   return ListPrefix + DataCentre;
 }
 
-std::string listTopicDataCentre(const std::string &Topic) {
+std::string dataCentreOfListTopic(const std::string &Topic) {
   if (Topic.rfind(ListPrefix, 0) != 0)
     return "";
   return Topic.substr(ListPrefix.size());
@@ -165,7 +165,7 @@
         Among, [this](const Instance *One) { return this->isEvacuated(*One); });
 }
 
-bool Membership::evacuate(const std::set<std::string> &DataCentres) {
+bool Membership::setEvacuated(const std::set<std::string> &DataCentres) {
   if (DataCentres == this->Evacuated)
     return false;
   this->Evacuated = DataCentres;
@@ -191,7 +191,7 @@
 }
 
 const std::vector<const Instance *> &
-Membership::openUpstreams(const std::string &Service) const {
+Membership::routableUpstreams(const std::string &Service) const {
   return findIn(this->OpenByService, Service);
 }
 
@@ -239,7 +239,7 @@
 }
 
 bool Membership::isReader(const AvoidSet &Avoid) const {
-  return this->size(this->Opts.DataCentre) == 0 || this->allRead() ||
+  return this->size(this->Opts.DataCentre) == 0 || this->everyNodeReads() ||
          this->readerRank(Avoid) < this->Opts.Readers;
 }
 
@@ -288,16 +288,16 @@
 
 std::vector<Neighbour> Membership::neighbours(const AvoidSet &Avoid) const {
   std::vector<Neighbour> Out;
-  auto Add = [&](const Instance *Who, Tie Kind) {
+  auto Add = [&](const Instance *Who, LinkKind Kind) {
     bool There = std::any_of(Out.begin(), Out.end(),
-                             [&](const Neighbour &N) { return N.Who == Who; });
+                             [&](const Neighbour &N) { return N.Peer == Who; });
     if (Who && !There)
       Out.push_back({Who, Kind});
   };
-  Add(this->parentIn(TreeSalt, Avoid), Tie::Tree);
-  Add(this->parentIn(BackupSalt, Avoid), Tie::Backup);
+  Add(this->parentIn(TreeSalt, Avoid), LinkKind::Tree);
+  Add(this->parentIn(BackupSalt, Avoid), LinkKind::Backup);
   for (const Instance *One : this->readersAbove(Avoid))
-    Add(One, Tie::Backup);
+    Add(One, LinkKind::Backup);
   this->addBridges(Out, Avoid);
   return Out;
 }
@@ -339,7 +339,8 @@
         continue;
       auto Theirs = Living(Other);
       if (!Theirs.empty())
-        Out.push_back({Theirs[std::min(I, Theirs.size() - 1)], Tie::Bridge});
+        Out.push_back(
+            {Theirs[std::min(I, Theirs.size() - 1)], LinkKind::Bridge});
     }
   }
 }
--- a/src/membership/Membership.h
+++ b/src/membership/Membership.h
@@ -19,7 +19,7 @@
 //   Membership Fleet({.Self = "portal-3", .DataCentre = "north"});
 //   Fleet.update("north", *ListDocument);
 //   if (Fleet.isReader()) ...
-//   for (const Neighbour &N : Fleet.neighbours()) dial(N.Who->Node);
+//   for (const Neighbour &N : Fleet.neighbours()) dial(N.Peer->Node);
 
 namespace hickorylift {
 
@@ -57,7 +57,7 @@
 /// The topic of a data centre's list.
 std::string listTopic(const std::string &DataCentre);
 /// The inverse; empty if Topic is none.
-std::string listTopicDataCentre(const std::string &Topic);
+std::string dataCentreOfListTopic(const std::string &Topic);
 
 /// An instance as a document's entry, and back.
 std::string writeInstance(const Instance &One);
@@ -70,7 +70,7 @@
                                      const std::string &DataCentre,
                                      uint64_t Revision);
 
-enum class Tie {
+enum class LinkKind {
   /// Documents are pushed along it.
   Tree,
   /// Documents are announced along it: the second tree, the ring of data
@@ -83,8 +83,8 @@
 };
 
 struct Neighbour {
-  const Instance *Who = nullptr;
-  Tie Kind = Tie::Tree;
+  const Instance *Peer = nullptr;
+  LinkKind Kind = LinkKind::Tree;
 };
 
 /// Names of instances that this node could not reach lately. What is worked out
@@ -116,7 +116,7 @@
   void update(const std::string &DataCentre, const Document &List);
 
   /// Takes which data centres are evacuated. False if these are the same.
-  bool evacuate(const std::set<std::string> &DataCentres);
+  bool setEvacuated(const std::set<std::string> &DataCentres);
   const std::set<std::string> &evacuated() const { return this->Evacuated; }
   bool isEvacuated(const Instance &One) const {
     return this->Evacuated.count(One.DataCentre) != 0;
@@ -126,7 +126,7 @@
   /// list is empty: with nothing known, someone has to ask.
   bool isReader(const AvoidSet &Avoid = {}) const;
   /// Whether the fleet is so small that every node reads.
-  bool allRead() const { return this->size() <= this->Opts.AllReadUpTo; }
+  bool everyNodeReads() const { return this->size() <= this->Opts.AllReadUpTo; }
   /// How many would have to be gone for this node to be the first reader.
   size_t readerRank(const AvoidSet &Avoid = {}) const;
   /// Whom this node dials. Each link is dialled by one end only: by the child
@@ -144,7 +144,7 @@
   upstreams(const std::string &Service) const;
   /// The same without those of evacuated data centres.
   const std::vector<const Instance *> &
-  openUpstreams(const std::string &Service) const;
+  routableUpstreams(const std::string &Service) const;
   std::vector<std::string> dataCentres() const;
   size_t size() const { return this->ByName.size(); }
   size_t size(const std::string &DataCentre) const;
--- a/src/membership/MembershipTest.cpp
+++ b/src/membership/MembershipTest.cpp
@@ -76,7 +76,7 @@
     One.update("west", *listOf("west", 20));
     One.update("south", *listOf("south", 20));
     for (const Neighbour &Next : One.neighbours())
-      Bridges += Next.Kind == Tie::Bridge;
+      Bridges += Next.Kind == LinkKind::Bridge;
   }
   BOOST_TEST(Bridges == 4); // two nodes, two data centres after "east"
 }
--- a/src/reading/Reader.cpp
+++ b/src/reading/Reader.cpp
@@ -256,7 +256,7 @@
   this->WantLists.erase(Key);
   Result<DocumentPtr> List =
       Evacuations ? readEvacuations(Got->Bytes, Got->Revision)
-                  : readInstanceList(Got->Bytes, listTopicDataCentre(Key),
+                  : readInstanceList(Got->Bytes, dataCentreOfListTopic(Key),
                                      Got->Revision);
   if (!List)
     return this->refuseValue(Got->Revision, List.error(), Now);
--- a/src/reading/StorePublishing.cpp
+++ b/src/reading/StorePublishing.cpp
@@ -34,7 +34,7 @@
   this->EvacuationsWait =
       Now < this->RestoreSettledAt && this->keepMissingEvacuations(DataCentres);
   DocumentPtr New = this->makeDocument(
-      makeEvacuations(0, DataCentres)->entries(), this->EvacuationsWait);
+      makeEvacuationDocument(0, DataCentres)->entries(), this->EvacuationsWait);
   bool Known = this->holds(EvacuationTopic, New);
   this->EvacuationDoc = Known ? this->Hook.Held(EvacuationTopic) : New;
   if (Known)
@@ -50,7 +50,7 @@
   if (!Held)
     return false;
   bool Kept = false;
-  for (const std::string &Name : evacuatedIn(*Held))
+  for (const std::string &Name : evacuatedDataCentres(*Held))
     if (!this->RemovedEvacuations.count(this->Contents.EvacuationPrefix + Name))
       Kept |= DataCentres.insert(Name).second;
   return Kept;
--- a/src/reading/StoreReader.cpp
+++ b/src/reading/StoreReader.cpp
@@ -134,7 +134,7 @@
     return false;
   this->EvacuationDoc = Held;
   this->Evacuations.clear();
-  for (const std::string &Name : evacuatedIn(*Held))
+  for (const std::string &Name : evacuatedDataCentres(*Held))
     this->Evacuations.insert(this->Contents.EvacuationPrefix + Name);
   return true;
 }
--- a/src/reading/StoreReaderTest.cpp
+++ b/src/reading/StoreReaderTest.cpp
@@ -151,7 +151,7 @@
   }
 
   std::set<std::string> evacuated() const {
-    return evacuatedIn(*this->Seen.at(EvacuationTopic));
+    return evacuatedDataCentres(*this->Seen.at(EvacuationTopic));
   }
 
   std::string entryOf(const std::string &Name) const {
@@ -172,7 +172,7 @@
     this->Seen[ConfigTopic] = Document::make(3, 30, {});
     this->Seen["instances/north"] = toldList({"x", "y"}, 35);
     this->Seen["instances/south"] = Document::make(20, 20, {});
-    this->Seen[EvacuationTopic] = makeEvacuations(25, {"south"});
+    this->Seen[EvacuationTopic] = makeEvacuationDocument(25, {"south"});
     this->CompleteAt = 40;
     StoreReader::Options Opts;
     Opts.StartJitter = Millis(0);
@@ -533,7 +533,7 @@
   if (Row.South)
     At.Seen["instances/south"] = Document::make(20, 20, {});
   if (Row.Evacuations)
-    At.Seen[EvacuationTopic] = makeEvacuations(20, {});
+    At.Seen[EvacuationTopic] = makeEvacuationDocument(20, {});
   At.CompleteAt = Row.CompleteAt;
   StoreReader::Options Opts;
   Opts.StartJitter = Millis(0);
--- a/src/reading/StoreRestoreTest.cpp
+++ b/src/reading/StoreRestoreTest.cpp
@@ -68,7 +68,8 @@
   }
 
   bool evacuates(const std::string &DataCentre) const {
-    return evacuatedIn(*this->Spread.held(EvacuationTopic)).count(DataCentre);
+    return evacuatedDataCentres(*this->Spread.held(EvacuationTopic))
+        .count(DataCentre);
   }
 
   Spreader Spread;
--- a/src/routing/Chooser.cpp
+++ b/src/routing/LoadBalancer.cpp
@@ -1,4 +1,4 @@
-#include "routing/Chooser.h"
+#include "routing/LoadBalancer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -30,8 +30,8 @@
 
 } // namespace
 
-double Chooser::share(const State &Of, TimePoint Now) const {
-  bool Fresh = Of.LoadAt && Now - *Of.LoadAt <= this->Opts.LoadFresh;
+double LoadBalancer::share(const State &Of, TimePoint Now) const {
+  bool Fresh = Of.LoadAt && Now - *Of.LoadAt <= this->Opts.LoadMaxAge;
   if (!Fresh)
     return Of.Outstanding;
   double Slots = std::max<uint32_t>(1, Of.Load.slots());
@@ -41,18 +41,18 @@
 
 // What a call there is expected to take, were it to queue behind those that
 // this entry has out already.
-double Chooser::cost(const State &Of, TimePoint Now) const {
+double LoadBalancer::cost(const State &Of, TimePoint Now) const {
   double Idle = std::chrono::duration<double>(Now - Of.LatencyAt) /
                 std::chrono::duration<double>(this->Opts.LatencyHalfLife);
   return Of.MeanLatencyUs * std::exp2(-Idle) * (1 + Of.Outstanding);
 }
 
-bool Chooser::isEjected(const std::string &Gate, TimePoint Now) const {
+bool LoadBalancer::isEjected(const std::string &Gate, TimePoint Now) const {
   auto Found = this->Gates.find(Gate);
   return Found != this->Gates.end() && Now < Found->second.EjectedUntil;
 }
 
-bool Chooser::isOpen(const Instance &Gate, TimePoint Now) const {
+bool LoadBalancer::isAvailable(const Instance &Gate, TimePoint Now) const {
   auto Found = this->Gates.find(Gate.Name);
   if (Gate.Leaving || Found == this->Gates.end())
     return !Gate.Leaving;
@@ -61,8 +61,8 @@
 }
 
 std::vector<const Instance *>
-Chooser::usable(const std::vector<const Instance *> &Upstreams,
-                const std::set<std::string> &Tried, TimePoint Now) {
+LoadBalancer::usable(const std::vector<const Instance *> &Upstreams,
+                     const std::set<std::string> &Tried, TimePoint Now) {
   std::vector<const Instance *> Open, Ejected;
   for (const Instance *One : Upstreams) {
     const State &Of = this->Gates[One->Name];
@@ -73,30 +73,33 @@
   }
   // Failures of the network look like failures of every gate. If the bound is
   // passed the verdicts prove nothing, and the ejected are asked again.
-  double Bound = this->Opts.MaxEjected * static_cast<double>(Upstreams.size());
+  double Bound =
+      this->Opts.MaxEjectedShare * static_cast<double>(Upstreams.size());
   if (static_cast<double>(Ejected.size()) > Bound || Open.empty())
     Open.insert(Open.end(), Ejected.begin(), Ejected.end());
   return Open;
 }
 
-const Instance *Chooser::pickOwn(const std::vector<const Instance *> &Among,
-                                 TimePoint Now) {
+const Instance *
+LoadBalancer::pickOwn(const std::vector<const Instance *> &Among,
+                      TimePoint Now) {
   for (const Instance *One : Among)
     if (One->Name == this->Self &&
-        this->share(this->Gates[One->Name], Now) < this->Opts.FullShare)
+        this->share(this->Gates[One->Name], Now) < this->Opts.HotThreshold)
       return One;
   return nullptr;
 }
 
-const Instance *Chooser::pick(const std::vector<const Instance *> &Upstreams,
-                              const std::set<std::string> &Tried, TimePoint Now,
-                              const Want &For) {
+const Instance *
+LoadBalancer::pick(const std::vector<const Instance *> &Upstreams,
+                   const std::set<std::string> &Tried, TimePoint Now,
+                   const CallInfo &For) {
   std::vector<const Instance *> Open = this->usable(Upstreams, Tried, Now);
   if (Open.empty())
     return nullptr;
-  if (this->Opts.How == Policy::Soonest)
+  if (this->Opts.SelectionPolicy == Policy::ShortestExpectedTime)
     return this->pickSoonest(Open, For, Now);
-  if (this->Opts.How == Policy::Hot)
+  if (this->Opts.SelectionPolicy == Policy::HotCold)
     if (const Instance *Own = this->pickOwn(Open, Now))
       return Own;
   std::vector<const Instance *> Near;
@@ -106,9 +109,9 @@
   return this->pickAmong(Near.empty() ? Open : Near, Now);
 }
 
-const Instance *Chooser::pickAmong(std::vector<const Instance *> Among,
-                                   TimePoint Now) {
-  switch (this->Opts.How) {
+const Instance *LoadBalancer::pickAmong(std::vector<const Instance *> Among,
+                                        TimePoint Now) {
+  switch (this->Opts.SelectionPolicy) {
   case Policy::Random:
     return Among[this->Random() % Among.size()];
   case Policy::RoundRobin:
@@ -119,16 +122,16 @@
                                return this->Gates[A->Name].Load.in_flight() <
                                       this->Gates[B->Name].Load.in_flight();
                              });
-  case Policy::Hot:
-  case Policy::Soonest:
+  case Policy::HotCold:
+  case Policy::ShortestExpectedTime:
     break;
   }
   return this->pickHot(Among, Now);
 }
 
-const Instance *Chooser::pickHot(std::vector<const Instance *> &Among,
-                                 TimePoint Now) {
-  size_t Draw = std::min(this->Opts.Draw, Among.size());
+const Instance *LoadBalancer::pickHot(std::vector<const Instance *> &Among,
+                                      TimePoint Now) {
+  size_t Draw = std::min(this->Opts.HotColdSampleSize, Among.size());
   const Instance *Best = nullptr;
   for (size_t I = 0; I < Draw; ++I) {
     std::swap(Among[I], Among[I + this->Random() % (Among.size() - I)]);
@@ -140,8 +143,8 @@
     const State &New = this->Gates[Among[I]->Name];
     double OldShare = this->share(Old, Now);
     double NewShare = this->share(New, Now);
-    bool OldRoom = OldShare < this->Opts.FullShare;
-    bool NewRoom = NewShare < this->Opts.FullShare;
+    bool OldRoom = OldShare < this->Opts.HotThreshold;
+    bool NewRoom = NewShare < this->Opts.HotThreshold;
     bool Better = NewShare < OldShare;
     if (OldRoom != NewRoom)
       Better = NewRoom;
@@ -156,7 +159,8 @@
 // The best pace that a gate has shown. What is unknown or long ago is hoped to
 // be as good: a mean would hold the slow gate's own, and the gate would never
 // be tried again.
-double Chooser::bestPace(const std::vector<const Instance *> &Among) const {
+double
+LoadBalancer::bestPace(const std::vector<const Instance *> &Among) const {
   std::optional<double> Best;
   for (const Instance *One : Among) {
     auto Found = this->Gates.find(One->Name);
@@ -169,8 +173,9 @@
 
 // A gate that is sent the short calls of a service has short runs, and is not
 // fast for that. So each run is held against what its own route usually takes.
-void Chooser::ran(const std::string &Gate, const std::string &Route,
-                  Micros Length, TimePoint Now) {
+void LoadBalancer::recordRunTime(const std::string &Gate,
+                                 const std::string &Route, Micros Length,
+                                 TimePoint Now) {
   auto Took = static_cast<double>(Length.count());
   auto Usual = this->UsualRun.find(Route);
   if (Usual == this->UsualRun.end()) {
@@ -178,80 +183,87 @@
       return;
     Usual = this->UsualRun.emplace(Route, Took).first;
   }
-  Usual->second += (Took - Usual->second) * this->Opts.RouteWeight;
+  Usual->second += (Took - Usual->second) * this->Opts.RunTimeWeight;
   State &Of = this->Gates[Gate];
   double Sample = Took / Usual->second;
-  double Weight =
-      std::max(this->Opts.PaceWeight,
-               1 - halved(Now - Of.PaceAt, this->Opts.PaceHalfLife));
+  double Weight = std::max(
+      this->Opts.LatencyFactorWeight,
+      1 - halved(Now - Of.PaceAt, this->Opts.LatencyFactorUpdateHalfLife));
   Of.Pace = Of.Pace == 0 ? Sample : Of.Pace + (Sample - Of.Pace) * Weight;
   Of.PaceAt = Now;
 }
 
-double Chooser::failShare(const State &Of, TimePoint Now) const {
-  return Of.FailShare * halved(Now - Of.FailAt, this->Opts.FailHalfLife);
+double LoadBalancer::failShare(const State &Of, TimePoint Now) const {
+  return Of.FailShare * halved(Now - Of.FailAt, this->Opts.FailureHalfLife);
 }
 
-void Chooser::cameBack(const std::string &Gate, Micros Way, TimePoint Now) {
+void LoadBalancer::recordRtt(const std::string &Gate, Micros Way,
+                             TimePoint Now) {
   State &Of = this->Gates[Gate];
-  double Known = Of.Way * halved(Now - Of.WayAt, this->Opts.WayHalfLife);
+  double Known = Of.Way * halved(Now - Of.WayAt, this->Opts.RttHalfLife);
   double Newest = static_cast<double>(Way.count());
-  Of.Way = Known + (Newest - Known) * this->Opts.WayWeight;
+  Of.Way = Known + (Newest - Known) * this->Opts.RttWeight;
   Of.WayAt = Now;
 }
 
-void Chooser::carriedBody(const std::string &Gate, Micros Took, TimePoint Now) {
+void LoadBalancer::recordBodyTransfer(const std::string &Gate, Micros Took,
+                                      TimePoint Now) {
   State &Of = this->Gates[Gate];
   double Known =
-      Of.BodyWay * halved(Now - Of.BodyWayAt, this->Opts.WayHalfLife);
+      Of.BodyWay * halved(Now - Of.BodyWayAt, this->Opts.RttHalfLife);
   double Newest = static_cast<double>(Took.count());
-  Of.BodyWay = Known + (Newest - Known) * this->Opts.WayWeight;
+  Of.BodyWay = Known + (Newest - Known) * this->Opts.RttWeight;
   Of.BodyWayAt = Now;
 }
 
 // A link that carries long bodies, or that others fill, is known by how late
 // its answers are. What is left of that knowledge counts where it is more than
 // what a way usually takes.
-double Chooser::way(const Instance &Gate, const State &Of, const Want &For,
-                    TimePoint Now) const {
+double LoadBalancer::way(const Instance &Gate, const State &Of,
+                         const CallInfo &For, TimePoint Now) const {
   if (Gate.Name == this->Self)
     return 0;
-  double Seen = Of.Way * halved(Now - Of.WayAt, this->Opts.WayHalfLife);
-  if (For.BodyBytes > this->Opts.LongBody)
+  double Seen = Of.Way * halved(Now - Of.WayAt, this->Opts.RttHalfLife);
+  if (For.BodyBytes > this->Opts.LongBodyBytes)
     Seen = std::max(
-        Seen, Of.BodyWay * halved(Now - Of.BodyWayAt, this->Opts.WayHalfLife));
+        Seen, Of.BodyWay * halved(Now - Of.BodyWayAt, this->Opts.RttHalfLife));
   if (Gate.DataCentre == this->DataCentre)
-    return std::max(Seen, static_cast<double>(this->Opts.NearWay.count()));
+    return std::max(Seen, static_cast<double>(this->Opts.MinLocalRtt.count()));
   constexpr double Kilobyte = 1024;
-  return std::max(Seen, static_cast<double>(this->Opts.FarWay.count())) +
-         this->Opts.FarShare * static_cast<double>(Micros(For.Target).count()) +
-         static_cast<double>(this->Opts.FarPerKilobyte.count()) *
+  return std::max(Seen, static_cast<double>(this->Opts.MinRemoteRtt.count())) +
+         this->Opts.RemoteTargetShare *
+             static_cast<double>(Micros(For.TargetLatency).count()) +
+         static_cast<double>(this->Opts.RemoteCostPerKilobyte.count()) *
              static_cast<double>(For.BodyBytes) / Kilobyte;
 }
 
 // Microseconds until the answer, were the call sent there now.
-double Chooser::expected(const Instance &Gate, const State &Of, double BestPace,
-                         const Want &For, TimePoint Now) const {
+double LoadBalancer::expected(const Instance &Gate, const State &Of,
+                              double BestPace, const CallInfo &For,
+                              TimePoint Now) const {
   Clock::duration Age =
       Of.LoadAt ? Now - *Of.LoadAt : Clock::duration::max() / 2;
-  double Known =
-      Of.Pace > 0 ? halved(Now - Of.PaceAt, this->Opts.RunHalfLife) : 0;
+  double Known = Of.Pace > 0
+                     ? halved(Now - Of.PaceAt, this->Opts.LatencyFactorHalfLife)
+                     : 0;
   double Pace = Of.Pace * Known + BestPace * (1 - Known);
   auto Usual = this->UsualRun.find(For.Route);
-  double Run = Pace * (Usual == this->UsualRun.end()
-                           ? static_cast<double>(this->Opts.FirstRun.count())
-                           : Usual->second);
+  double Run =
+      Pace * (Usual == this->UsualRun.end()
+                  ? static_cast<double>(this->Opts.InitialRunTime.count())
+                  : Usual->second);
   // Those ahead are of all routes.
   double RunAhead = Of.Load.latency_us() > 0 ? Of.Load.latency_us() : Run;
   double Slots = Of.Load.slots() > 0 ? Of.Load.slots()
                  : Gate.Slots > 0    ? Gate.Slots
-                                     : this->Opts.FirstSlots;
+                                     : this->Opts.InitialSlots;
   double Busy = (Of.Load.in_flight() + Of.Load.queued()) *
                     halved(Age, this->Opts.QueueHalfLife) +
                 Of.SentSince;
   Busy = std::max<double>(Busy, Of.Outstanding);
   double Wait = std::max(0.0, Busy + 1 - Slots) * RunAhead / Slots;
-  Millis Cost = For.Target.count() > 0 ? For.Target : this->Opts.FailCost;
+  Millis Cost = For.TargetLatency.count() > 0 ? For.TargetLatency
+                                              : this->Opts.FailureCost;
   return Run + Wait +
          this->failShare(Of, Now) * static_cast<double>(Micros(Cost).count());
 }
@@ -270,7 +282,7 @@
 // The own gate always, for nothing is known better than its load and a call to
 // it costs no link; then gates of the own data centre, and a few of others.
 std::vector<const Instance *>
-Chooser::drawSoonest(const std::vector<const Instance *> &Among) {
+LoadBalancer::drawSoonest(const std::vector<const Instance *> &Among) {
   std::vector<const Instance *> Out, Near, Far;
   for (const Instance *One : Among) {
     if (One->Name == this->Self)
@@ -278,8 +290,8 @@
     else
       (One->DataCentre == this->DataCentre ? Near : Far).push_back(One);
   }
-  size_t Left = this->Opts.DrawSoonest - Out.size();
-  size_t FromFar = std::min(Far.size(), this->Opts.DrawFar);
+  size_t Left = this->Opts.SampleSize - Out.size();
+  size_t FromFar = std::min(Far.size(), this->Opts.RemoteSampleSize);
   size_t FromNear = std::min(Near.size(), Left - FromFar);
   FromFar = std::min(Far.size(), Left - FromNear);
   shuffleFirst(Near, FromNear, this->Random);
@@ -289,10 +301,11 @@
   return Out;
 }
 
-const Instance *Chooser::pickSoonest(const std::vector<const Instance *> &Among,
-                                     const Want &For, TimePoint Now) {
+const Instance *
+LoadBalancer::pickSoonest(const std::vector<const Instance *> &Among,
+                          const CallInfo &For, TimePoint Now) {
   double BestPace = this->bestPace(Among);
-  std::uniform_real_distribution<double> Longer(1, 1 + this->Opts.Noise);
+  std::uniform_real_distribution<double> Longer(1, 1 + this->Opts.JitterShare);
   const Instance *Best = nullptr;
   double BestTime = 0;
   for (const Instance *One : this->drawSoonest(Among)) {
@@ -307,25 +320,26 @@
   return Best;
 }
 
-void Chooser::started(const std::string &Gate) {
+void LoadBalancer::recordStart(const std::string &Gate) {
   ++this->Gates[Gate].Outstanding;
   ++this->Gates[Gate].SentSince;
 }
 
-void Chooser::judged(const std::string &Gate, bool Failure, TimePoint Now) {
+void LoadBalancer::recordOutcome(const std::string &Gate, bool Failure,
+                                 TimePoint Now) {
   State &Of = this->Gates[Gate];
-  Of.FailShare = this->failShare(Of, Now) * (1 - this->Opts.FailWeight) +
-                 (Failure ? this->Opts.FailWeight : 0);
+  Of.FailShare = this->failShare(Of, Now) * (1 - this->Opts.FailureWeight) +
+                 (Failure ? this->Opts.FailureWeight : 0);
   Of.FailAt = Now;
 }
 
-void Chooser::ended(const std::string &Gate, bool Answered,
-                    Clock::duration Took, TimePoint Now) {
+void LoadBalancer::recordEnd(const std::string &Gate, bool Answered,
+                             Clock::duration Took, TimePoint Now) {
   State &Of = this->Gates[Gate];
   if (Of.Outstanding > 0)
     --Of.Outstanding;
   if (!Answered) {
-    this->judged(Gate, /*Failure=*/true, Now);
+    this->recordOutcome(Gate, /*Failure=*/true, Now);
     if (++Of.FailuresInRow >= this->Opts.EjectAfter) {
       Of.EjectedUntil = Now + this->Opts.EjectFor;
       // It comes back with a clean record, or nobody would try it.
@@ -340,40 +354,41 @@
   Of.LatencyAt = Now;
 }
 
-void Chooser::learn(const std::string &Gate, const wire::Load &Load,
-                    TimePoint Now) {
+void LoadBalancer::recordLoad(const std::string &Gate, const wire::Load &Load,
+                              TimePoint Now) {
   State &Of = this->Gates[Gate];
   Of.Load = Load;
   Of.LoadAt = Now;
   Of.SentSince = 0;
 }
 
-void Chooser::refused(const std::string &Gate, Millis RoomIn, TimePoint Now) {
+void LoadBalancer::recordRefusal(const std::string &Gate, Millis RoomIn,
+                                 TimePoint Now) {
   State &Of = this->Gates[Gate];
   Micros NextFree(Of.Load.latency_us() /
                   std::max<uint32_t>(1, Of.Load.slots()));
-  Micros Likely = std::clamp<Micros>(NextFree, this->Opts.ShortestFull,
-                                     this->Opts.LongestFull);
+  Micros Likely = std::clamp<Micros>(NextFree, this->Opts.MinFullBackoff,
+                                     this->Opts.MaxFullBackoff);
   Of.FullUntil = Now + std::max<Micros>(Likely, RoomIn);
 }
 
-void Chooser::unreachable(const std::string &Gate, TimePoint Now) {
+void LoadBalancer::markUnreachable(const std::string &Gate, TimePoint Now) {
   this->Gates[Gate].UnreachableUntil = Now + this->Opts.EjectFor;
 }
 
-void Chooser::reachable(const std::string &Gate) {
+void LoadBalancer::markReachable(const std::string &Gate) {
   this->Gates[Gate].UnreachableUntil = TimePoint();
 }
 
-void Chooser::draining(const std::string &Gate) {
+void LoadBalancer::markDraining(const std::string &Gate) {
   this->Gates[Gate].Draining = true;
 }
 
-void Chooser::ready(const std::string &Gate) {
+void LoadBalancer::clearDraining(const std::string &Gate) {
   this->Gates[Gate].Draining = false;
 }
 
-void Chooser::listed(const Instance &One) {
+void LoadBalancer::updateInstance(const Instance &One) {
   State &Of = this->Gates[One.Name];
   std::pair<std::string, uint64_t> Start(One.Upstream, One.Incarnation);
   if (Of.Start && *Of.Start != Start) {
@@ -390,7 +405,7 @@
   Of.Leaving = One.Leaving;
 }
 
-void Chooser::keepOnly(const std::set<std::string> &Listed) {
+void LoadBalancer::retainOnly(const std::set<std::string> &Listed) {
   std::erase_if(this->Gates, [&](const auto &One) {
     return !Listed.count(One.first) && One.second.Outstanding == 0;
   });
@@ -399,8 +414,8 @@
 }
 
 std::optional<Millis>
-Chooser::soonest(const std::vector<const Instance *> &Upstreams,
-                 TimePoint Now) const {
+LoadBalancer::shortestRetryAfter(const std::vector<const Instance *> &Upstreams,
+                                 TimePoint Now) const {
   std::optional<Millis> Best;
   for (const Instance *One : Upstreams) {
     auto Found = this->Gates.find(One->Name);
--- a/src/routing/ChooserTest.cpp
+++ b/src/routing/LoadBalancerTest.cpp
@@ -1,5 +1,5 @@
-#include "routing/Chooser.h"
-#include "routing/AgeEstimate.h"
+#include "routing/LoadBalancer.h"
+#include "routing/RequestAgeEstimator.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -75,17 +75,17 @@
 }
 
 /// What a gate shows by an answer of the usual route.
-void tell(Chooser &To, const std::string &Gate, const wire::Load &Load,
+void tell(LoadBalancer &To, const std::string &Gate, const wire::Load &Load,
           TimePoint Now) {
-  To.learn(Gate, Load, Now);
-  To.ran(Gate, "usual", Micros(Load.latency_us()), Now);
+  To.recordLoad(Gate, Load, Now);
+  To.recordRunTime(Gate, "usual", Micros(Load.latency_us()), Now);
 }
 
-Chooser::Want want(uint64_t BodyBytes) {
-  Chooser::Want Out;
+LoadBalancer::CallInfo want(uint64_t BodyBytes) {
+  LoadBalancer::CallInfo Out;
   Out.Route = "usual";
   Out.BodyBytes = BodyBytes;
-  Out.Target = Millis(300);
+  Out.TargetLatency = Millis(300);
   return Out;
 }
 
@@ -96,7 +96,7 @@
 BOOST_DATA_TEST_CASE(TheSoonestAnswerIsChosen, data::make(Choices), Row) {
   std::vector<Instance> All = nearAndFar();
   for (uint64_t Seed = 1; Seed < 50; ++Seed) {
-    Chooser Choose({}, "north", "me", Seed);
+    LoadBalancer Choose({}, "north", "me", Seed);
     tell(Choose, "near", Row.Near, Start);
     tell(Choose, "far", Row.Far, Start);
     BOOST_TEST(
@@ -109,11 +109,11 @@
 // look at the time alone send it more and more.
 BOOST_AUTO_TEST_CASE(QuickFailuresDoNotAttract) {
   std::vector<Instance> All = nearAndFar();
-  Chooser Choose({}, "north", "me", 1);
+  LoadBalancer Choose({}, "north", "me", 1);
   tell(Choose, "near", wire::Load(0, 0, 10, 5 * Ms), Start);
   tell(Choose, "far", wire::Load(0, 0, 10, 50 * Ms), Start);
   for (int I = 0; I < 40; ++I)
-    Choose.judged("near", I % 2 == 0, Start);
+    Choose.recordOutcome("near", I % 2 == 0, Start);
   BOOST_TEST(Choose.pick(pointers(All), {}, Start, want(0))->Name == "far");
   TimePoint Later = Start + std::chrono::seconds(5);
   BOOST_TEST(Choose.pick(pointers(All), {}, Later, want(0))->Name == "near");
@@ -124,12 +124,12 @@
 // go by the gate's own figures miss their targets there one after the other.
 BOOST_AUTO_TEST_CASE(GatesBehindAFullLinkAreLeftAside) {
   std::vector<Instance> All = nearAndFar();
-  Chooser Choose({}, "north", "me", 1);
+  LoadBalancer Choose({}, "north", "me", 1);
   tell(Choose, "near", wire::Load(0, 0, 10, 50 * Ms), Start);
   tell(Choose, "far", wire::Load(0, 0, 10, 50 * Ms), Start);
   for (int I = 0; I < 5; ++I) {
-    Choose.cameBack("near", Millis(330), Start);
-    Choose.cameBack("far", Millis(3), Start);
+    Choose.recordRtt("near", Millis(330), Start);
+    Choose.recordRtt("far", Millis(3), Start);
   }
   BOOST_TEST(Choose.pick(pointers(All), {}, Start, want(0))->Name == "far");
   TimePoint Later = Start + std::chrono::seconds(5);
@@ -143,14 +143,14 @@
   std::vector<Instance> All = nearAndFar();
   All.push_back(All[1]);
   All[2].Name = "third";
-  Chooser Choose({}, "north", "me", 1);
-  Choose.unreachable("far", Start);
-  Choose.unreachable("third", Start);
+  LoadBalancer Choose({}, "north", "me", 1);
+  Choose.markUnreachable("far", Start);
+  Choose.markUnreachable("third", Start);
   for (int I = 0; I < 20; ++I)
     BOOST_TEST(Choose.pick(pointers(All), {}, Start, want(0))->Name == "near");
-  Choose.unreachable("near", Start);
+  Choose.markUnreachable("near", Start);
   BOOST_TEST(!Choose.pick(pointers(All), {}, Start, want(0)));
-  Choose.reachable("far");
+  Choose.markReachable("far");
   BOOST_TEST(Choose.pick(pointers(All), {}, Start, want(0))->Name == "far");
   TimePoint Later = Start + Millis(2001);
   BOOST_TEST(Choose.pick(pointers(All), {}, Later, want(0)));
@@ -162,11 +162,11 @@
   Instance Only;
   Only.Name = "only";
   Only.DataCentre = "here";
-  Chooser Choose(Chooser::Options(), "here", "me", /*Seed=*/7);
-  Choose.learn("only", {1, 0, 10, 20 * Ms}, Start);
-  Choose.refused("only", Millis(700), Start);
+  LoadBalancer Choose(LoadBalancer::Options(), "here", "me", /*Seed=*/7);
+  Choose.recordLoad("only", {1, 0, 10, 20 * Ms}, Start);
+  Choose.recordRefusal("only", Millis(700), Start);
   BOOST_TEST(!Choose.pick({&Only}, {}, Start + Millis(699)));
-  BOOST_TEST((Choose.soonest({&Only}, Start) == Millis(700)));
+  BOOST_TEST((Choose.shortestRetryAfter({&Only}, Start) == Millis(700)));
   BOOST_TEST(Choose.pick({&Only}, {}, Start + Millis(700)) == &Only);
 }
 
@@ -175,15 +175,15 @@
 BOOST_AUTO_TEST_CASE(ShortCallsDoNotMakeAGateFast) {
   std::vector<Instance> All = nearAndFar();
   All[1].DataCentre = "north";
-  Chooser Choose({}, "north", "me", 1);
+  LoadBalancer Choose({}, "north", "me", 1);
   for (int I = 0; I < 100; ++I) {
     TimePoint Now = Start + Millis(10 * I);
-    Choose.ran("near", "short", Micros(20 * Ms), Now);
-    Choose.ran("far", "long", Micros(100 * Ms), Now);
-    Choose.learn("near", wire::Load(5, 0, 10, 20 * Ms), Now);
-    Choose.learn("far", wire::Load(5, 0, 10, 100 * Ms), Now);
+    Choose.recordRunTime("near", "short", Micros(20 * Ms), Now);
+    Choose.recordRunTime("far", "long", Micros(100 * Ms), Now);
+    Choose.recordLoad("near", wire::Load(5, 0, 10, 20 * Ms), Now);
+    Choose.recordLoad("far", wire::Load(5, 0, 10, 100 * Ms), Now);
   }
-  Chooser::Want Long = want(0);
+  LoadBalancer::CallInfo Long = want(0);
   Long.Route = "long";
   std::map<std::string, int> Count;
   for (int I = 0; I < 100; ++I)
@@ -213,7 +213,7 @@
     All[I].Name = "gate-" + std::to_string(I);
     All[I].DataCentre = "dc-" + std::to_string(I % Row.DataCentres);
   }
-  Chooser Choose({}, "dc-0", "me", 1);
+  LoadBalancer Choose({}, "dc-0", "me", 1);
   for (const Instance &One : All)
     tell(Choose, One.Name, wire::Load(0, 0, 10, 50 * Ms), Start);
   int Left = 0;
@@ -227,7 +227,7 @@
 // a draw must not hold gates of the own one alone.
 BOOST_AUTO_TEST_CASE(RoomElsewhereIsFound) {
   std::vector<Instance> All(60);
-  Chooser Choose({}, "dc-0", "me", 1);
+  LoadBalancer Choose({}, "dc-0", "me", 1);
   for (size_t I = 0; I < All.size(); ++I) {
     All[I].Name = "gate-" + std::to_string(I);
     All[I].DataCentre = "dc-" + std::to_string(I % 3);
@@ -245,13 +245,13 @@
 BOOST_AUTO_TEST_CASE(ABurstIsSpread) {
   std::vector<Instance> All = nearAndFar();
   All[1].DataCentre = "north";
-  Chooser Choose({}, "north", "me", 1);
+  LoadBalancer Choose({}, "north", "me", 1);
   std::map<std::string, int> Count;
   for (const Instance &One : All)
-    Choose.learn(One.Name, wire::Load(0, 0, 10, 50 * Ms), Start);
+    Choose.recordLoad(One.Name, wire::Load(0, 0, 10, 50 * Ms), Start);
   for (int I = 0; I < 60; ++I) {
     const Instance *To = Choose.pick(pointers(All), {}, Start, want(0));
-    Choose.started(To->Name);
+    Choose.recordStart(To->Name);
     ++Count[To->Name];
   }
   BOOST_TEST(Count["near"] >= 25);
@@ -261,7 +261,7 @@
 // A gate that was slow is not asked, and so cannot show that it has recovered.
 BOOST_AUTO_TEST_CASE(SlowGateIsTriedAgainInTime) {
   std::vector<Instance> All = nearAndFar();
-  Chooser Choose({}, "north", "me", 1);
+  LoadBalancer Choose({}, "north", "me", 1);
   tell(Choose, "far", wire::Load(0, 0, 10, 50 * Ms), Start);
   tell(Choose, "near", wire::Load(0, 0, 10, 400 * Ms), Start);
   bool Tried = false;
@@ -276,7 +276,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ThoseWhoSayLessHaveWaited) {
-  AgeEstimate Ages;
+  RequestAgeEstimator Ages;
   BOOST_TEST(Ages.age("r", Millis(1200), Start).count() == 0);
   BOOST_TEST(Ages.age("r", Millis(1199), Start).count() == 0);
   BOOST_TEST(Ages.age("r", Millis(900), Start).count() == 300);
@@ -331,30 +331,30 @@
 // be refused for ever although the list names an upstream that serves.
 BOOST_DATA_TEST_CASE(ADrainMarkEndsWithItsReason, data::make(DrainEnds), Row) {
   std::vector<Instance> One{nearAndFar().front()};
-  Chooser Choose(Chooser::Options(), "north", "me", 1);
-  Choose.listed(One[0]);
+  LoadBalancer Choose(LoadBalancer::Options(), "north", "me", 1);
+  Choose.updateInstance(One[0]);
   Instance Marked = One[0];
   Marked.Leaving = true;
   switch (Row.Happened) {
   case Between::Nothing:
-    Choose.draining("near");
+    Choose.markDraining("near");
     break;
   case Between::OffWhileCalled:
-    Choose.started("near");
-    Choose.draining("near");
-    Choose.keepOnly({});
+    Choose.recordStart("near");
+    Choose.markDraining("near");
+    Choose.retainOnly({});
     break;
   case Between::SaidWhenOff:
-    Choose.keepOnly({});
-    Choose.draining("near");
+    Choose.retainOnly({});
+    Choose.markDraining("near");
     break;
   case Between::Leaving:
-    Choose.listed(Marked);
-    Choose.draining("near");
+    Choose.updateInstance(Marked);
+    Choose.markDraining("near");
     break;
   }
-  Choose.listed(One[0]);
-  Choose.keepOnly({"near"});
+  Choose.updateInstance(One[0]);
+  Choose.retainOnly({"near"});
   BOOST_TEST((Choose.pick(pointers(One), {}, Start) != nullptr) == Row.Chosen);
 }
 
@@ -366,12 +366,12 @@
   One[0].DataCentre = "north";
   One[0].Upstream = "up-1";
   One[0].Incarnation = 5;
-  Chooser Choose(Chooser::Options(), "north", "me", 1);
-  Choose.listed(One[0]);
-  Choose.draining("near");
+  LoadBalancer Choose(LoadBalancer::Options(), "north", "me", 1);
+  Choose.updateInstance(One[0]);
+  Choose.markDraining("near");
   One[0].Upstream = Row.Upstream;
   One[0].Incarnation = Row.Incarnation;
-  Choose.listed(One[0]);
+  Choose.updateInstance(One[0]);
   const Instance *Chosen = Choose.pick(pointers(One), {}, Start);
   BOOST_TEST((Chosen != nullptr) == Row.Chosen);
 }
--- a/src/routing/TurnRank.h
+++ b/src/routing/NodeRank.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYLIFT_ROUTING_TURNRANK_H
-#define HICKORYLIFT_ROUTING_TURNRANK_H
+#ifndef HICKORYLIFT_ROUTING_NODERANK_H
+#define HICKORYLIFT_ROUTING_NODERANK_H
 
 #include "base/Hash.h"
 #include "base/Time.h"
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <string>
 
-// A TurnRank says how far behind others the calls of one node stand at gates
+// A NodeRank says how far behind others the calls of one node stand at gates
 // that are short of room, for a while; then the ranks are dealt anew.
 //
 // A run that makes two calls is lost if either finds no room. Were each call
@@ -18,19 +18,19 @@
 // control for scaling WeChat microservices", SoCC 2018); we know no user, and
 // the node at which calls enter serves as well.
 //
-//   TurnRank Rank(TurnRank::Options(), /*Seed=*/7);
+//   NodeRank Rank(NodeRank::Options(), /*Seed=*/7);
 //   Open.rank = Rank.at(Now);      // 0 stands first, 255 last
 
 namespace hickorylift {
 
-class TurnRank {
+class NodeRank {
 public:
   struct Options {
     /// Several times the longest runs, so that few of them see a change.
     Millis Epoch{2000};
   };
 
-  TurnRank(Options Opts, uint64_t Seed) : Opts(Opts), Seed(Seed) {}
+  NodeRank(Options Opts, uint64_t Seed) : Opts(Opts), Seed(Seed) {}
 
   uint8_t at(TimePoint Now) const {
     auto Epoch =
--- a/src/routing/AgeEstimate.h
+++ b/src/routing/RequestAgeEstimator.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYLIFT_ROUTING_AGEESTIMATE_H
-#define HICKORYLIFT_ROUTING_AGEESTIMATE_H
+#ifndef HICKORYLIFT_ROUTING_REQUESTAGEESTIMATOR_H
+#define HICKORYLIFT_ROUTING_REQUESTAGEESTIMATOR_H
 
 #include "base/Time.h"
 
@@ -9,25 +9,25 @@
 // Callers of one route start with the same patience and say what is left of it.
 // One that says less than the others has tried before, and has waited since.
 //
-//   AgeEstimate Ages;
+//   RequestAgeEstimator Ages;
 //   Millis Waited = Ages.age("status", /*Left=*/Millis(900), Now);
 
 namespace hickorylift {
 
-class AgeEstimate {
+class RequestAgeEstimator {
 public:
   struct Options {
     /// The longest patience seen counts for this long. Callers may be given a
     /// shorter one, and all of them would look old for ever.
     Millis KeepFor{10000};
     /// Less than this may be the time on the wire.
-    Millis Noise{10};
+    Millis Tolerance{10};
     /// Routes remembered; further ones have no estimate.
     size_t MaxRoutes = 10000;
   };
 
-  explicit AgeEstimate(Options Opts) : Opts(Opts) {}
-  AgeEstimate() : AgeEstimate(Options()) {}
+  explicit RequestAgeEstimator(Options Opts) : Opts(Opts) {}
+  RequestAgeEstimator() : RequestAgeEstimator(Options()) {}
 
   /// How long the caller has waited already; zero where nothing is known.
   Millis age(const std::string &Route, Millis Left, TimePoint Now) {
@@ -39,7 +39,7 @@
     }
     Longest &Of = Found->second;
     bool Expired = Now - Of.SeenAt > this->Opts.KeepFor;
-    if (Left + this->Opts.Noise >= Of.Patience || Expired) {
+    if (Left + this->Opts.Tolerance >= Of.Patience || Expired) {
       Of = {Expired ? Left : std::max(Left, Of.Patience), Now};
       return Millis(0);
     }
--- a/src/routing/SplitTurns.cpp
+++ b/src/routing/TrafficSplitter.cpp
@@ -1,4 +1,4 @@
-#include "routing/SplitTurns.h"
+#include "routing/TrafficSplitter.h"
 
 // Smooth weighted round robin: at each call every part earns its weight, the
 // part with the most credit has the turn and pays the sum of all weights. No
@@ -7,7 +7,7 @@
 
 namespace hickorylift {
 
-size_t SplitTurns::next(const Route &Of) {
+size_t TrafficSplitter::next(const Route &Of) {
   if (Of.Parts.size() == 1)
     return 0;
   std::vector<uint32_t> Weights;
--- a/src/routing/SplitTurns.h
+++ b/src/routing/TrafficSplitter.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYLIFT_ROUTING_SPLITTURNS_H
-#define HICKORYLIFT_ROUTING_SPLITTURNS_H
+#ifndef HICKORYLIFT_ROUTING_TRAFFICSPLITTER_H
+#define HICKORYLIFT_ROUTING_TRAFFICSPLITTER_H
 
 #include "config/Config.h"
 
@@ -7,16 +7,16 @@
 #include <string>
 #include <vector>
 
-// SplitTurns deals the calls of a split route out to its parts. After any
+// TrafficSplitter deals the calls of a split route out to its parts. After any
 // number of calls each part has had its weight's share of them, give or take
 // one; a draw at random would stray by the square root of the number.
 //
-//   SplitTurns Turns;
+//   TrafficSplitter Turns;
 //   const SplitPart &Part = Route.Parts[Turns.next(Route)];
 
 namespace hickorylift {
 
-class SplitTurns {
+class TrafficSplitter {
 public:
   /// The index of the part whose turn it is.
   size_t next(const Route &Of);
--- a/src/routing/SplitTurnsTest.cpp
+++ b/src/routing/TrafficSplitterTest.cpp
@@ -1,4 +1,4 @@
-#include "routing/SplitTurns.h"
+#include "routing/TrafficSplitter.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -40,7 +40,7 @@
 
 BOOST_DATA_TEST_CASE(EachPartHasItsShareAtEveryMoment, data::make(Splits),
                      Row) {
-  SplitTurns Turns;
+  TrafficSplitter Turns;
   Route Of = routeOf(Row.Of);
   double Sum = std::accumulate(Row.Of.begin(), Row.Of.end(), 0.0);
   std::vector<double> Counts(Row.Of.size());
@@ -52,7 +52,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(NewWeightsCountAtOnce) {
-  SplitTurns Turns;
+  TrafficSplitter Turns;
   for (int I = 0; I < 7; ++I)
     Turns.next(routeOf({9, 1}));
   size_t Second = 0;
