--- a/src/routing/NodeRank.h
+++ b/src/routing/NodeRank.h
@@ -7,26 +7,29 @@
 #include <cstdint>
 #include <string>
 
-// A NodeRank says how far behind others the calls of one node stand at gates
-// that are short of room, for a while; then the ranks are dealt anew.
+// NodeRank gives the calls that enter at one node a pseudo-random rank, which
+// overloaded gates use to decide whose calls to refuse first. All ranks change
+// at the start of each epoch.
 //
-// A run that makes two calls is lost if either finds no room. Were each call
-// refused by chance, at three in four admitted one run in two would succeed,
-// and a fifth of the room would go to runs that fail. With ranks the same nodes
-// are refused for a while, so most runs have both of their calls or fail at the
-// first. DAGOR does the same with a hash of the user (Zhou et al., "Overload
-// control for scaling WeChat microservices", SoCC 2018); we know no user, and
-// the node at which calls enter serves as well.
+// A run that makes two calls is lost if either is refused for lack of capacity.
+// If each call were refused at random with three in four admitted, only about
+// one run in two would succeed, and a fifth of the capacity would be spent on
+// runs that fail. With ranks, the calls of the same nodes are refused for a
+// while, so most runs have both calls admitted or fail at the first. DAGOR does
+// the same with a hash of the user (Zhou et al., "Overload control for scaling
+// WeChat microservices", SoCC 2018). Users are not known here; the node at
+// which a call enters serves as well.
 //
 //   NodeRank Rank(NodeRank::Options(), /*Seed=*/7);
-//   Open.rank = Rank.at(Now);      // 0 stands first, 255 last
+//   Open.rank = Rank.at(Now);      // 0 is served first, 255 last
 
 namespace hickorylift {
 
 class NodeRank {
 public:
   struct Options {
-    /// Several times the longest runs, so that few of them see a change.
+    /// How long ranks stay the same: several times the length of the longest
+    /// runs, so that few runs span a change.
     Millis Epoch{2000};
   };
 
--- a/src/routing/RequestAgeEstimator.h
+++ b/src/routing/RequestAgeEstimator.h
@@ -6,54 +6,58 @@
 #include <map>
 #include <string>
 
-// Callers of one route start with the same patience and say what is left of it.
-// One that says less than the others has tried before, and has waited since.
+// RequestAgeEstimator estimates how long a caller has already waited for a
+// request. Callers of one route start with the same time budget and send the
+// part of it that remains. A request with less remaining than the others of its
+// route was tried before, and its caller has been waiting since.
 //
 //   RequestAgeEstimator Ages;
-//   Millis Waited = Ages.age("status", /*Left=*/Millis(900), Now);
+//   Millis Waited = Ages.age("status", /*Remaining=*/Millis(900), Now);
 
 namespace hickorylift {
 
 class RequestAgeEstimator {
 public:
   struct Options {
-    /// The longest patience seen counts for this long. Callers may be given a
-    /// shorter one, and all of them would look old for ever.
+    /// How long the longest budget seen on a route stays valid. If callers are
+    /// given a shorter budget, all of them would otherwise look old for ever.
     Millis KeepFor{10000};
-    /// Less than this may be the time on the wire.
+    /// A difference up to this may be the time on the wire and counts as none.
     Millis Tolerance{10};
-    /// Routes remembered; further ones have no estimate.
+    /// Routes remembered. Requests of further routes have no estimate.
     size_t MaxRoutes = 10000;
   };
 
   explicit RequestAgeEstimator(Options Opts) : Opts(Opts) {}
   RequestAgeEstimator() : RequestAgeEstimator(Options()) {}
 
-  /// How long the caller has waited already; zero where nothing is known.
-  Millis age(const std::string &Route, Millis Left, TimePoint Now) {
+  /// How long the caller has already waited, given the budget that remains;
+  /// zero if the route is unknown.
+  Millis age(const std::string &Route, Millis Remaining, TimePoint Now) {
     auto Found = this->ByRoute.find(Route);
     if (Found == this->ByRoute.end()) {
       if (this->ByRoute.size() < this->Opts.MaxRoutes)
-        this->ByRoute[Route] = {Left, Now};
+        this->ByRoute[Route] = {Remaining, Now};
       return Millis(0);
     }
-    Longest &Of = Found->second;
-    bool Expired = Now - Of.SeenAt > this->Opts.KeepFor;
-    if (Left + this->Opts.Tolerance >= Of.Patience || Expired) {
-      Of = {Expired ? Left : std::max(Left, Of.Patience), Now};
+    LongestBudget &Longest = Found->second;
+    bool Expired = Now - Longest.SeenAt > this->Opts.KeepFor;
+    if (Remaining + this->Opts.Tolerance >= Longest.Budget || Expired) {
+      Longest = {Expired ? Remaining : std::max(Remaining, Longest.Budget),
+                 Now};
       return Millis(0);
     }
-    return Of.Patience - Left;
+    return Longest.Budget - Remaining;
   }
 
 private:
-  struct Longest {
-    Millis Patience{0};
+  struct LongestBudget {
+    Millis Budget{0};
     TimePoint SeenAt;
   };
 
   Options Opts;
-  std::map<std::string, Longest> ByRoute;
+  std::map<std::string, LongestBudget> ByRoute;
 };
 
 } // namespace hickorylift
