--- a/src/routing/TrafficSplitter.cpp
+++ b/src/routing/TrafficSplitter.cpp
@@ -1,22 +1,22 @@
 #include "routing/TrafficSplitter.h"
 
-// Smooth weighted round robin: at each call every part earns its weight, the
-// part with the most credit has the turn and pays the sum of all weights. No
-// credit ever leaves the range between minus and plus that sum, so the count of
-// each part differs from its share by less than one turn.
+// Smooth weighted round robin: with each call every part earns its weight as
+// credit, and the part with the most credit receives the call and pays the sum
+// of all weights. The credit of a part always stays between minus and plus that
+// sum, so its call count differs from its share by less than one.
 
 namespace hickorylift {
 
-size_t TrafficSplitter::next(const Route &Of) {
-  if (Of.Parts.size() == 1)
+size_t TrafficSplitter::next(const Route &SplitRoute) {
+  if (SplitRoute.Parts.size() == 1)
     return 0;
   std::vector<uint32_t> Weights;
   int64_t Sum = 0;
-  for (const SplitPart &Part : Of.Parts) {
+  for (const SplitPart &Part : SplitRoute.Parts) {
     Weights.push_back(Part.Weight);
     Sum += Part.Weight;
   }
-  Dealt &State = this->ByRoute[Of.Name];
+  RouteState &State = this->ByRoute[SplitRoute.Name];
   if (State.Weights != Weights) {
     State.Weights = Weights;
     State.Credit.assign(Weights.size(), 0);
--- a/src/routing/TrafficSplitter.h
+++ b/src/routing/TrafficSplitter.h
@@ -7,28 +7,29 @@
 #include <string>
 #include <vector>
 
-// TrafficSplitter deals the calls of a split route out to its parts. After any
-// number of calls each part has had its weight's share of them, give or take
-// one; a draw at random would stray by the square root of the number.
+// TrafficSplitter distributes the calls of a split route over its parts in
+// proportion to their weights. After any number of calls, the count of each
+// part is within one of its share; a random choice would be off by the square
+// root of the number of calls.
 //
-//   TrafficSplitter Turns;
-//   const SplitPart &Part = Route.Parts[Turns.next(Route)];
+//   TrafficSplitter Splitter;
+//   const SplitPart &Part = Route.Parts[Splitter.next(Route)];
 
 namespace hickorylift {
 
 class TrafficSplitter {
 public:
-  /// The index of the part whose turn it is.
-  size_t next(const Route &Of);
+  /// Returns the index of the part that receives the next call of SplitRoute.
+  size_t next(const Route &SplitRoute);
 
 private:
-  struct Dealt {
+  struct RouteState {
     std::vector<uint32_t> Weights;
-    // What each part is owed; the sum is zero.
+    // What each part is owed, in units of weight; the sum is zero.
     std::vector<int64_t> Credit;
   };
 
-  std::map<std::string, Dealt> ByRoute;
+  std::map<std::string, RouteState> ByRoute;
 };
 
 } // namespace hickorylift
--- a/src/routing/TrafficSplitterTest.cpp
+++ b/src/routing/TrafficSplitterTest.cpp
@@ -13,51 +13,53 @@
 
 namespace data = boost::unit_test::data;
 
-struct Weights {
-  std::vector<uint32_t> Of;
+struct Split {
+  std::vector<uint32_t> Weights;
 };
-std::ostream &operator<<(std::ostream &To, const Weights &Row) {
-  for (uint32_t One : Row.Of)
-    To << One << " ";
-  return To;
+std::ostream &operator<<(std::ostream &Stream, const Split &Row) {
+  for (uint32_t Weight : Row.Weights)
+    Stream << Weight << " ";
+  return Stream;
 }
 
-const Weights Splits[] = {
+const Split Splits[] = {
     {{1}}, {{1, 1}}, {{90, 10}}, {{1, 2, 3}}, {{0, 5}}, {{7, 0, 3}}, {{999, 1}},
 };
 
-Route routeOf(const std::vector<uint32_t> &Of) {
-  Route Out;
-  Out.Name = "r";
-  for (uint32_t Weight : Of)
-    Out.Parts.push_back({nullptr, Weight});
-  return Out;
+Route makeSplitRoute(const std::vector<uint32_t> &Weights) {
+  Route Result;
+  Result.Name = "r";
+  for (uint32_t Weight : Weights)
+    Result.Parts.push_back({nullptr, Weight});
+  return Result;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(Splitting)
+BOOST_AUTO_TEST_SUITE(TrafficSplitting)
 
-BOOST_DATA_TEST_CASE(EachPartHasItsShareAtEveryMoment, data::make(Splits),
+// After every call, the count of each part is within one of its share.
+BOOST_DATA_TEST_CASE(PartDeviatesFromItsShareByLessThanOne, data::make(Splits),
                      Row) {
-  TrafficSplitter Turns;
-  Route Of = routeOf(Row.Of);
-  double Sum = std::accumulate(Row.Of.begin(), Row.Of.end(), 0.0);
-  std::vector<double> Counts(Row.Of.size());
+  TrafficSplitter Splitter;
+  Route SplitRoute = makeSplitRoute(Row.Weights);
+  double Sum = std::accumulate(Row.Weights.begin(), Row.Weights.end(), 0.0);
+  std::vector<double> Counts(Row.Weights.size());
   for (int Call = 1; Call <= 2000; ++Call) {
-    ++Counts[Turns.next(Of)];
+    ++Counts[Splitter.next(SplitRoute)];
     for (size_t I = 0; I < Counts.size(); ++I)
-      BOOST_REQUIRE(std::abs(Counts[I] - Call * Row.Of[I] / Sum) < 1.0);
+      BOOST_REQUIRE(std::abs(Counts[I] - Call * Row.Weights[I] / Sum) < 1.0);
   }
 }
 
-BOOST_AUTO_TEST_CASE(NewWeightsCountAtOnce) {
-  TrafficSplitter Turns;
+// Credit earned under old weights must not delay the effect of new ones.
+BOOST_AUTO_TEST_CASE(NewWeightsTakeEffectAtOnce) {
+  TrafficSplitter Splitter;
   for (int I = 0; I < 7; ++I)
-    Turns.next(routeOf({9, 1}));
+    Splitter.next(makeSplitRoute({9, 1}));
   size_t Second = 0;
   for (int I = 0; I < 100; ++I)
-    Second += Turns.next(routeOf({1, 9}));
+    Second += Splitter.next(makeSplitRoute({1, 9}));
   BOOST_TEST(Second == 90u);
 }
 
