--- a/src/routing/LoadBalancer.cpp
+++ b/src/routing/LoadBalancer.cpp
@@ -3,48 +3,53 @@
 #include <algorithm>
 #include <cmath>
 
-// Soonest takes the gate from which the answer is expected first: its run time,
-// the wait for a slot, the way, and what its failures cost. The load is what
-// the gate wrote on its last answer, plus what this entry has sent since: the
-// load endpoints that upstreams publish lag and mislead, and a gate knows its
-// own slots. What is known grows old: a queue is soon another, and a run time
-// drifts back to what is typical, so that a gate which was slow is tried again.
+// ShortestExpectedTime selects the gate with the shortest expected time until
+// the answer: the sum of the run time, the wait for a slot, the round-trip time
+// and the cost of failures. The load of a gate is what it reported with its
+// last answer, plus the calls that this entry has sent since. The load
+// endpoints that upstreams publish are not used: they lag and mislead, while a
+// gate knows its own slots. Reports lose weight with age: a queue soon changes,
+// and the run time of a gate is assumed to return to the typical one, so that a
+// gate which was slow is tried again.
 //
-// Hot draws a few gates at random; among those with room the one that promises
-// the shortest wait is taken, and if none has room the one with the least share
-// of its slots in use (the hot-cold rule of Prequal: Wydrowski et al., "Load is
-// not what you should balance", NSDI 2024).
+// HotCold samples a few gates at random. Among those with capacity it selects
+// the one with the shortest expected latency; if none has capacity, the one
+// with the lowest share of its slots in use (the hot-cold rule of Prequal:
+// Wydrowski et al., "Load is not what you should balance", NSDI 2024).
 //
-// Drawing a few, and not looking for the best of all, keeps entries that learn
-// the same from running to the same gate together.
+// Both compare a random sample instead of all gates, so that entries which
+// receive the same reports do not all select the same gate.
 
 namespace hickorylift {
 
 namespace {
 
-/// The weight that something of that age still has.
-double halved(Clock::duration Age, Millis HalfLife) {
+/// Returns the weight that a value of the given age has left.
+double decayWeight(Clock::duration Age, Millis HalfLife) {
   return std::exp2(-std::chrono::duration<double>(Age) /
                    std::chrono::duration<double>(HalfLife));
 }
 
 } // namespace
 
-double LoadBalancer::share(const State &Of, TimePoint Now) const {
-  bool Fresh = Of.LoadAt && Now - *Of.LoadAt <= this->Opts.LoadMaxAge;
+// Share of the gate's slots in use, waiting calls included. Without a recent
+// report it is the number of this entry's own calls there.
+double LoadBalancer::utilization(const GateState &State, TimePoint Now) const {
+  bool Fresh = State.LoadAt && Now - *State.LoadAt <= this->Opts.LoadMaxAge;
   if (!Fresh)
-    return Of.Outstanding;
-  double Slots = std::max<uint32_t>(1, Of.Load.slots());
-  double Known = Of.Load.in_flight() + Of.Load.queued();
-  return std::max<double>(Known, Of.Outstanding) / Slots;
+    return State.Outstanding;
+  double Slots = std::max<uint32_t>(1, State.Load.slots());
+  double Reported = State.Load.in_flight() + State.Load.queued();
+  return std::max<double>(Reported, State.Outstanding) / Slots;
 }
 
-// What a call there is expected to take, were it to queue behind those that
-// this entry has out already.
-double LoadBalancer::cost(const State &Of, TimePoint Now) const {
-  double Idle = std::chrono::duration<double>(Now - Of.LatencyAt) /
+// Expected latency of a call that queues behind the calls which this entry has
+// already sent to the gate.
+double LoadBalancer::expectedLatency(const GateState &State,
+                                     TimePoint Now) const {
+  double Idle = std::chrono::duration<double>(Now - State.LatencyAt) /
                 std::chrono::duration<double>(this->Opts.LatencyHalfLife);
-  return Of.MeanLatencyUs * std::exp2(-Idle) * (1 + Of.Outstanding);
+  return State.MeanLatencyUs * std::exp2(-Idle) * (1 + State.Outstanding);
 }
 
 bool LoadBalancer::isEjected(const std::string &Gate, TimePoint Now) const {
@@ -56,68 +61,75 @@
   auto Found = this->Gates.find(Gate.Name);
   if (Gate.Leaving || Found == this->Gates.end())
     return !Gate.Leaving;
-  const State &Of = Found->second;
-  return !Of.Draining && Now >= Of.UnreachableUntil && Now >= Of.EjectedUntil;
+  const GateState &State = Found->second;
+  return !State.Draining && Now >= State.UnreachableUntil &&
+         Now >= State.EjectedUntil;
 }
 
 std::vector<const Instance *>
-LoadBalancer::usable(const std::vector<const Instance *> &Upstreams,
-                     const std::set<std::string> &Tried, TimePoint Now) {
-  std::vector<const Instance *> Open, Ejected;
-  for (const Instance *One : Upstreams) {
-    const State &Of = this->Gates[One->Name];
-    if (One->Leaving || Of.Draining || Tried.count(One->Name) ||
-        Now < Of.FullUntil || Now < Of.UnreachableUntil)
+LoadBalancer::usableGates(const std::vector<const Instance *> &Upstreams,
+                          const std::set<std::string> &Tried, TimePoint Now) {
+  std::vector<const Instance *> Usable, Ejected;
+  for (const Instance *Gate : Upstreams) {
+    const GateState &State = this->Gates[Gate->Name];
+    if (Gate->Leaving || State.Draining || Tried.count(Gate->Name) ||
+        Now < State.FullUntil || Now < State.UnreachableUntil)
       continue;
-    (Now < Of.EjectedUntil ? Ejected : Open).push_back(One);
+    (Now < State.EjectedUntil ? Ejected : Usable).push_back(Gate);
   }
-  // Failures of the network look like failures of every gate. If the bound is
-  // passed the verdicts prove nothing, and the ejected are asked again.
+  // A network failure looks like a failure of every gate. If more gates are
+  // ejected than the bound allows, the ejections prove nothing about single
+  // gates, and the ejected ones are used again.
   double Bound =
       this->Opts.MaxEjectedShare * static_cast<double>(Upstreams.size());
-  if (static_cast<double>(Ejected.size()) > Bound || Open.empty())
-    Open.insert(Open.end(), Ejected.begin(), Ejected.end());
-  return Open;
+  if (static_cast<double>(Ejected.size()) > Bound || Usable.empty())
+    Usable.insert(Usable.end(), Ejected.begin(), Ejected.end());
+  return Usable;
 }
 
+// The gate of this node, if it is a candidate and not full; else null.
 const Instance *
-LoadBalancer::pickOwn(const std::vector<const Instance *> &Among,
-                      TimePoint Now) {
-  for (const Instance *One : Among)
-    if (One->Name == this->Self &&
-        this->share(this->Gates[One->Name], Now) < this->Opts.HotThreshold)
-      return One;
+LoadBalancer::pickSelf(const std::vector<const Instance *> &Candidates,
+                       TimePoint Now) {
+  for (const Instance *Gate : Candidates)
+    if (Gate->Name == this->Self &&
+        this->utilization(this->Gates[Gate->Name], Now) <
+            this->Opts.HotThreshold)
+      return Gate;
   return nullptr;
 }
 
 const Instance *
 LoadBalancer::pick(const std::vector<const Instance *> &Upstreams,
                    const std::set<std::string> &Tried, TimePoint Now,
-                   const CallInfo &For) {
-  std::vector<const Instance *> Open = this->usable(Upstreams, Tried, Now);
-  if (Open.empty())
+                   const CallInfo &Call) {
+  std::vector<const Instance *> Usable =
+      this->usableGates(Upstreams, Tried, Now);
+  if (Usable.empty())
     return nullptr;
   if (this->Opts.SelectionPolicy == Policy::ShortestExpectedTime)
-    return this->pickSoonest(Open, For, Now);
+    return this->pickShortestExpectedTime(Usable, Call, Now);
   if (this->Opts.SelectionPolicy == Policy::HotCold)
-    if (const Instance *Own = this->pickOwn(Open, Now))
-      return Own;
-  std::vector<const Instance *> Near;
-  for (const Instance *One : Open)
-    if (One->DataCentre == this->DataCentre)
-      Near.push_back(One);
-  return this->pickAmong(Near.empty() ? Open : Near, Now);
+    if (const Instance *OwnGate = this->pickSelf(Usable, Now))
+      return OwnGate;
+  std::vector<const Instance *> Local;
+  for (const Instance *Gate : Usable)
+    if (Gate->DataCentre == this->DataCentre)
+      Local.push_back(Gate);
+  return this->pickByPolicy(Local.empty() ? Usable : Local, Now);
 }
 
-const Instance *LoadBalancer::pickAmong(std::vector<const Instance *> Among,
-                                        TimePoint Now) {
+const Instance *
+LoadBalancer::pickByPolicy(std::vector<const Instance *> Candidates,
+                           TimePoint Now) {
   switch (this->Opts.SelectionPolicy) {
   case Policy::Random:
-    return Among[this->Random() % Among.size()];
+    return Candidates[this->Random() % Candidates.size()];
   case Policy::RoundRobin:
-    return Among[this->NextInTurn[Among.front()->Service]++ % Among.size()];
+    return Candidates[this->NextIndex[Candidates.front()->Service]++ %
+                      Candidates.size()];
   case Policy::LeastLoaded:
-    return *std::min_element(Among.begin(), Among.end(),
+    return *std::min_element(Candidates.begin(), Candidates.end(),
                              [&](const Instance *A, const Instance *B) {
                                return this->Gates[A->Name].Load.in_flight() <
                                       this->Gates[B->Name].Load.in_flight();
@@ -126,195 +138,216 @@
   case Policy::ShortestExpectedTime:
     break;
   }
-  return this->pickHot(Among, Now);
+  return this->pickHotCold(Candidates, Now);
 }
 
-const Instance *LoadBalancer::pickHot(std::vector<const Instance *> &Among,
-                                      TimePoint Now) {
-  size_t Draw = std::min(this->Opts.HotColdSampleSize, Among.size());
+const Instance *
+LoadBalancer::pickHotCold(std::vector<const Instance *> &Candidates,
+                          TimePoint Now) {
+  size_t SampleSize = std::min(this->Opts.HotColdSampleSize, Candidates.size());
   const Instance *Best = nullptr;
-  for (size_t I = 0; I < Draw; ++I) {
-    std::swap(Among[I], Among[I + this->Random() % (Among.size() - I)]);
+  for (size_t I = 0; I < SampleSize; ++I) {
+    std::swap(Candidates[I],
+              Candidates[I + this->Random() % (Candidates.size() - I)]);
     if (!Best) {
-      Best = Among[I];
+      Best = Candidates[I];
       continue;
     }
-    const State &Old = this->Gates[Best->Name];
-    const State &New = this->Gates[Among[I]->Name];
-    double OldShare = this->share(Old, Now);
-    double NewShare = this->share(New, Now);
-    bool OldRoom = OldShare < this->Opts.HotThreshold;
-    bool NewRoom = NewShare < this->Opts.HotThreshold;
-    bool Better = NewShare < OldShare;
-    if (OldRoom != NewRoom)
-      Better = NewRoom;
-    else if (OldRoom)
-      Better = this->cost(New, Now) < this->cost(Old, Now);
+    const GateState &Old = this->Gates[Best->Name];
+    const GateState &New = this->Gates[Candidates[I]->Name];
+    double OldUtilization = this->utilization(Old, Now);
+    double NewUtilization = this->utilization(New, Now);
+    bool OldHasCapacity = OldUtilization < this->Opts.HotThreshold;
+    bool NewHasCapacity = NewUtilization < this->Opts.HotThreshold;
+    bool Better = NewUtilization < OldUtilization;
+    if (OldHasCapacity != NewHasCapacity)
+      Better = NewHasCapacity;
+    else if (OldHasCapacity)
+      Better =
+          this->expectedLatency(New, Now) < this->expectedLatency(Old, Now);
     if (Better)
-      Best = Among[I];
+      Best = Candidates[I];
   }
   return Best;
 }
 
-// The best pace that a gate has shown. What is unknown or long ago is hoped to
-// be as good: a mean would hold the slow gate's own, and the gate would never
-// be tried again.
-double
-LoadBalancer::bestPace(const std::vector<const Instance *> &Among) const {
+// The lowest latency factor of the candidates. Gates whose factor is unknown or
+// old are assumed to be as fast. A mean would include the factor of the slow
+// gate itself, and that gate would never be tried again.
+double LoadBalancer::bestLatencyFactor(
+    const std::vector<const Instance *> &Candidates) const {
   std::optional<double> Best;
-  for (const Instance *One : Among) {
-    auto Found = this->Gates.find(One->Name);
-    if (Found == this->Gates.end() || Found->second.Pace == 0)
+  for (const Instance *Gate : Candidates) {
+    auto Found = this->Gates.find(Gate->Name);
+    if (Found == this->Gates.end() || Found->second.LatencyFactor == 0)
       continue;
-    Best = Best ? std::min(*Best, Found->second.Pace) : Found->second.Pace;
+    Best = Best ? std::min(*Best, Found->second.LatencyFactor)
+                : Found->second.LatencyFactor;
   }
   return Best.value_or(1);
 }
 
-// A gate that is sent the short calls of a service has short runs, and is not
-// fast for that. So each run is held against what its own route usually takes.
+// A gate that receives the short calls of a service has short run times without
+// being fast. Each run time is therefore compared with the usual one of its
+// route.
 void LoadBalancer::recordRunTime(const std::string &Gate,
                                  const std::string &Route, Micros Length,
                                  TimePoint Now) {
   auto Took = static_cast<double>(Length.count());
-  auto Usual = this->UsualRun.find(Route);
-  if (Usual == this->UsualRun.end()) {
-    if (this->UsualRun.size() >= this->Opts.MaxRoutes)
+  auto Usual = this->UsualRunTime.find(Route);
+  if (Usual == this->UsualRunTime.end()) {
+    if (this->UsualRunTime.size() >= this->Opts.MaxRoutes)
       return;
-    Usual = this->UsualRun.emplace(Route, Took).first;
+    Usual = this->UsualRunTime.emplace(Route, Took).first;
   }
   Usual->second += (Took - Usual->second) * this->Opts.RunTimeWeight;
-  State &Of = this->Gates[Gate];
+  GateState &State = this->Gates[Gate];
   double Sample = Took / Usual->second;
-  double Weight = std::max(
-      this->Opts.LatencyFactorWeight,
-      1 - halved(Now - Of.PaceAt, this->Opts.LatencyFactorUpdateHalfLife));
-  Of.Pace = Of.Pace == 0 ? Sample : Of.Pace + (Sample - Of.Pace) * Weight;
-  Of.PaceAt = Now;
+  double Weight =
+      std::max(this->Opts.LatencyFactorWeight,
+               1 - decayWeight(Now - State.LatencyFactorAt,
+                               this->Opts.LatencyFactorUpdateHalfLife));
+  State.LatencyFactor =
+      State.LatencyFactor == 0
+          ? Sample
+          : State.LatencyFactor + (Sample - State.LatencyFactor) * Weight;
+  State.LatencyFactorAt = Now;
 }
 
-double LoadBalancer::failShare(const State &Of, TimePoint Now) const {
-  return Of.FailShare * halved(Now - Of.FailAt, this->Opts.FailureHalfLife);
+double LoadBalancer::failureRate(const GateState &State, TimePoint Now) const {
+  return State.FailureRate *
+         decayWeight(Now - State.FailureRateAt, this->Opts.FailureHalfLife);
 }
 
-void LoadBalancer::recordRtt(const std::string &Gate, Micros Way,
+void LoadBalancer::recordRtt(const std::string &Gate, Micros Rtt,
                              TimePoint Now) {
-  State &Of = this->Gates[Gate];
-  double Known = Of.Way * halved(Now - Of.WayAt, this->Opts.RttHalfLife);
-  double Newest = static_cast<double>(Way.count());
-  Of.Way = Known + (Newest - Known) * this->Opts.RttWeight;
-  Of.WayAt = Now;
+  GateState &State = this->Gates[Gate];
+  double Decayed =
+      State.RttUs * decayWeight(Now - State.RttAt, this->Opts.RttHalfLife);
+  double Newest = static_cast<double>(Rtt.count());
+  State.RttUs = Decayed + (Newest - Decayed) * this->Opts.RttWeight;
+  State.RttAt = Now;
 }
 
 void LoadBalancer::recordBodyTransfer(const std::string &Gate, Micros Took,
                                       TimePoint Now) {
-  State &Of = this->Gates[Gate];
-  double Known =
-      Of.BodyWay * halved(Now - Of.BodyWayAt, this->Opts.RttHalfLife);
+  GateState &State = this->Gates[Gate];
+  double Decayed = State.BodyRttUs *
+                   decayWeight(Now - State.BodyRttAt, this->Opts.RttHalfLife);
   double Newest = static_cast<double>(Took.count());
-  Of.BodyWay = Known + (Newest - Known) * this->Opts.RttWeight;
-  Of.BodyWayAt = Now;
+  State.BodyRttUs = Decayed + (Newest - Decayed) * this->Opts.RttWeight;
+  State.BodyRttAt = Now;
 }
 
-// A link that carries long bodies, or that others fill, is known by how late
-// its answers are. What is left of that knowledge counts where it is more than
-// what a way usually takes.
-double LoadBalancer::way(const Instance &Gate, const State &Of,
-                         const CallInfo &For, TimePoint Now) const {
+// A link that carries long bodies, or that other traffic fills, shows in late
+// answers. The decayed round-trip time counts while it exceeds the minimum of
+// the data centre.
+double LoadBalancer::networkTime(const Instance &Gate, const GateState &State,
+                                 const CallInfo &Call, TimePoint Now) const {
   if (Gate.Name == this->Self)
     return 0;
-  double Seen = Of.Way * halved(Now - Of.WayAt, this->Opts.RttHalfLife);
-  if (For.BodyBytes > this->Opts.LongBodyBytes)
-    Seen = std::max(
-        Seen, Of.BodyWay * halved(Now - Of.BodyWayAt, this->Opts.RttHalfLife));
+  double Measured =
+      State.RttUs * decayWeight(Now - State.RttAt, this->Opts.RttHalfLife);
+  if (Call.BodyBytes > this->Opts.LongBodyBytes)
+    Measured = std::max(Measured,
+                        State.BodyRttUs * decayWeight(Now - State.BodyRttAt,
+                                                      this->Opts.RttHalfLife));
   if (Gate.DataCentre == this->DataCentre)
-    return std::max(Seen, static_cast<double>(this->Opts.MinLocalRtt.count()));
+    return std::max(Measured,
+                    static_cast<double>(this->Opts.MinLocalRtt.count()));
   constexpr double Kilobyte = 1024;
-  return std::max(Seen, static_cast<double>(this->Opts.MinRemoteRtt.count())) +
+  return std::max(Measured,
+                  static_cast<double>(this->Opts.MinRemoteRtt.count())) +
          this->Opts.RemoteTargetShare *
-             static_cast<double>(Micros(For.TargetLatency).count()) +
+             static_cast<double>(Micros(Call.TargetLatency).count()) +
          static_cast<double>(this->Opts.RemoteCostPerKilobyte.count()) *
-             static_cast<double>(For.BodyBytes) / Kilobyte;
+             static_cast<double>(Call.BodyBytes) / Kilobyte;
 }
 
-// Microseconds until the answer, were the call sent there now.
-double LoadBalancer::expected(const Instance &Gate, const State &Of,
-                              double BestPace, const CallInfo &For,
-                              TimePoint Now) const {
+// Microseconds until the answer, network time excluded, if the call were sent
+// to the gate now.
+double LoadBalancer::expectedTime(const Instance &Gate, const GateState &State,
+                                  double BestFactor, const CallInfo &Call,
+                                  TimePoint Now) const {
   Clock::duration Age =
-      Of.LoadAt ? Now - *Of.LoadAt : Clock::duration::max() / 2;
-  double Known = Of.Pace > 0
-                     ? halved(Now - Of.PaceAt, this->Opts.LatencyFactorHalfLife)
-                     : 0;
-  double Pace = Of.Pace * Known + BestPace * (1 - Known);
-  auto Usual = this->UsualRun.find(For.Route);
+      State.LoadAt ? Now - *State.LoadAt : Clock::duration::max() / 2;
+  double Confidence = State.LatencyFactor > 0
+                          ? decayWeight(Now - State.LatencyFactorAt,
+                                        this->Opts.LatencyFactorHalfLife)
+                          : 0;
+  double Factor =
+      State.LatencyFactor * Confidence + BestFactor * (1 - Confidence);
+  auto Usual = this->UsualRunTime.find(Call.Route);
   double Run =
-      Pace * (Usual == this->UsualRun.end()
-                  ? static_cast<double>(this->Opts.InitialRunTime.count())
-                  : Usual->second);
-  // Those ahead are of all routes.
-  double RunAhead = Of.Load.latency_us() > 0 ? Of.Load.latency_us() : Run;
-  double Slots = Of.Load.slots() > 0 ? Of.Load.slots()
-                 : Gate.Slots > 0    ? Gate.Slots
-                                     : this->Opts.InitialSlots;
-  double Busy = (Of.Load.in_flight() + Of.Load.queued()) *
-                    halved(Age, this->Opts.QueueHalfLife) +
-                Of.SentSince;
-  Busy = std::max<double>(Busy, Of.Outstanding);
+      Factor * (Usual == this->UsualRunTime.end()
+                    ? static_cast<double>(this->Opts.InitialRunTime.count())
+                    : Usual->second);
+  // The calls ahead belong to any route, so the gate's mean run time counts.
+  double RunAhead = State.Load.latency_us() > 0 ? State.Load.latency_us() : Run;
+  double Slots = State.Load.slots() > 0 ? State.Load.slots()
+                 : Gate.Slots > 0       ? Gate.Slots
+                                        : this->Opts.InitialSlots;
+  double Busy = (State.Load.in_flight() + State.Load.queued()) *
+                    decayWeight(Age, this->Opts.QueueHalfLife) +
+                State.SentSinceReport;
+  Busy = std::max<double>(Busy, State.Outstanding);
   double Wait = std::max(0.0, Busy + 1 - Slots) * RunAhead / Slots;
-  Millis Cost = For.TargetLatency.count() > 0 ? For.TargetLatency
-                                              : this->Opts.FailureCost;
+  Millis Cost = Call.TargetLatency.count() > 0 ? Call.TargetLatency
+                                               : this->Opts.FailureCost;
   return Run + Wait +
-         this->failShare(Of, Now) * static_cast<double>(Micros(Cost).count());
+         this->failureRate(State, Now) *
+             static_cast<double>(Micros(Cost).count());
 }
 
 namespace {
 
-/// Puts Count of them, drawn at random, at the front.
-void shuffleFirst(std::vector<const Instance *> &Of, size_t Count,
+/// Moves Count randomly drawn gates to the front.
+void shuffleFirst(std::vector<const Instance *> &Gates, size_t Count,
                   std::mt19937_64 &Random) {
   for (size_t I = 0; I < Count; ++I)
-    std::swap(Of[I], Of[I + Random() % (Of.size() - I)]);
+    std::swap(Gates[I], Gates[I + Random() % (Gates.size() - I)]);
 }
 
 } // namespace
 
-// The own gate always, for nothing is known better than its load and a call to
-// it costs no link; then gates of the own data centre, and a few of others.
+// Always includes the gate of this node, whose load is known best and which is
+// reached without a network link. Then come random gates of the local data
+// centre, and a few of remote ones.
 std::vector<const Instance *>
-LoadBalancer::drawSoonest(const std::vector<const Instance *> &Among) {
-  std::vector<const Instance *> Out, Near, Far;
-  for (const Instance *One : Among) {
-    if (One->Name == this->Self)
-      Out.push_back(One);
+LoadBalancer::sampleGates(const std::vector<const Instance *> &Candidates) {
+  std::vector<const Instance *> Sample, Local, Remote;
+  for (const Instance *Gate : Candidates) {
+    if (Gate->Name == this->Self)
+      Sample.push_back(Gate);
     else
-      (One->DataCentre == this->DataCentre ? Near : Far).push_back(One);
+      (Gate->DataCentre == this->DataCentre ? Local : Remote).push_back(Gate);
   }
-  size_t Left = this->Opts.SampleSize - Out.size();
-  size_t FromFar = std::min(Far.size(), this->Opts.RemoteSampleSize);
-  size_t FromNear = std::min(Near.size(), Left - FromFar);
-  FromFar = std::min(Far.size(), Left - FromNear);
-  shuffleFirst(Near, FromNear, this->Random);
-  shuffleFirst(Far, FromFar, this->Random);
-  Out.insert(Out.end(), Near.begin(), Near.begin() + FromNear);
-  Out.insert(Out.end(), Far.begin(), Far.begin() + FromFar);
-  return Out;
-}
-
-const Instance *
-LoadBalancer::pickSoonest(const std::vector<const Instance *> &Among,
-                          const CallInfo &For, TimePoint Now) {
-  double BestPace = this->bestPace(Among);
-  std::uniform_real_distribution<double> Longer(1, 1 + this->Opts.JitterShare);
+  size_t Left = this->Opts.SampleSize - Sample.size();
+  size_t RemoteCount = std::min(Remote.size(), this->Opts.RemoteSampleSize);
+  size_t LocalCount = std::min(Local.size(), Left - RemoteCount);
+  RemoteCount = std::min(Remote.size(), Left - LocalCount);
+  shuffleFirst(Local, LocalCount, this->Random);
+  shuffleFirst(Remote, RemoteCount, this->Random);
+  Sample.insert(Sample.end(), Local.begin(), Local.begin() + LocalCount);
+  Sample.insert(Sample.end(), Remote.begin(), Remote.begin() + RemoteCount);
+  return Sample;
+}
+
+const Instance *LoadBalancer::pickShortestExpectedTime(
+    const std::vector<const Instance *> &Candidates, const CallInfo &Call,
+    TimePoint Now) {
+  double BestFactor = this->bestLatencyFactor(Candidates);
+  std::uniform_real_distribution<double> Jitter(1, 1 + this->Opts.JitterShare);
   const Instance *Best = nullptr;
   double BestTime = 0;
-  for (const Instance *One : this->drawSoonest(Among)) {
-    const State &Of = this->Gates[One->Name];
-    double Time = this->expected(*One, Of, BestPace, For, Now);
-    Time = Time * Longer(this->Random) + this->way(*One, Of, For, Now);
+  for (const Instance *Gate : this->sampleGates(Candidates)) {
+    const GateState &State = this->Gates[Gate->Name];
+    double Time = this->expectedTime(*Gate, State, BestFactor, Call, Now);
+    Time = Time * Jitter(this->Random) +
+           this->networkTime(*Gate, State, Call, Now);
     if (Best && Time >= BestTime)
       continue;
-    Best = One;
+    Best = Gate;
     BestTime = Time;
   }
   return Best;
@@ -322,54 +355,56 @@
 
 void LoadBalancer::recordStart(const std::string &Gate) {
   ++this->Gates[Gate].Outstanding;
-  ++this->Gates[Gate].SentSince;
+  ++this->Gates[Gate].SentSinceReport;
 }
 
 void LoadBalancer::recordOutcome(const std::string &Gate, bool Failure,
                                  TimePoint Now) {
-  State &Of = this->Gates[Gate];
-  Of.FailShare = this->failShare(Of, Now) * (1 - this->Opts.FailureWeight) +
-                 (Failure ? this->Opts.FailureWeight : 0);
-  Of.FailAt = Now;
+  GateState &State = this->Gates[Gate];
+  State.FailureRate =
+      this->failureRate(State, Now) * (1 - this->Opts.FailureWeight) +
+      (Failure ? this->Opts.FailureWeight : 0);
+  State.FailureRateAt = Now;
 }
 
 void LoadBalancer::recordEnd(const std::string &Gate, bool Answered,
                              Clock::duration Took, TimePoint Now) {
-  State &Of = this->Gates[Gate];
-  if (Of.Outstanding > 0)
-    --Of.Outstanding;
+  GateState &State = this->Gates[Gate];
+  if (State.Outstanding > 0)
+    --State.Outstanding;
   if (!Answered) {
     this->recordOutcome(Gate, /*Failure=*/true, Now);
-    if (++Of.FailuresInRow >= this->Opts.EjectAfter) {
-      Of.EjectedUntil = Now + this->Opts.EjectFor;
-      // It comes back with a clean record, or nobody would try it.
-      Of.FailShare = 0;
+    if (++State.ConsecutiveFailures >= this->Opts.EjectAfter) {
+      State.EjectedUntil = Now + this->Opts.EjectFor;
+      // After the ejection the gate starts without recorded failures, or it
+      // would not be selected again.
+      State.FailureRate = 0;
     }
     return;
   }
-  Of.FailuresInRow = 0;
+  State.ConsecutiveFailures = 0;
   double Us = std::chrono::duration<double, std::micro>(Took).count();
-  double Weight = Of.MeanLatencyUs == 0 ? 1 : this->Opts.LatencyWeight;
-  Of.MeanLatencyUs = Of.MeanLatencyUs * (1 - Weight) + Us * Weight;
-  Of.LatencyAt = Now;
+  double Weight = State.MeanLatencyUs == 0 ? 1 : this->Opts.LatencyWeight;
+  State.MeanLatencyUs = State.MeanLatencyUs * (1 - Weight) + Us * Weight;
+  State.LatencyAt = Now;
 }
 
 void LoadBalancer::recordLoad(const std::string &Gate, const wire::Load &Load,
                               TimePoint Now) {
-  State &Of = this->Gates[Gate];
-  Of.Load = Load;
-  Of.LoadAt = Now;
-  Of.SentSince = 0;
+  GateState &State = this->Gates[Gate];
+  State.Load = Load;
+  State.LoadAt = Now;
+  State.SentSinceReport = 0;
 }
 
-void LoadBalancer::recordRefusal(const std::string &Gate, Millis RoomIn,
+void LoadBalancer::recordRefusal(const std::string &Gate, Millis RetryAfter,
                                  TimePoint Now) {
-  State &Of = this->Gates[Gate];
-  Micros NextFree(Of.Load.latency_us() /
-                  std::max<uint32_t>(1, Of.Load.slots()));
-  Micros Likely = std::clamp<Micros>(NextFree, this->Opts.MinFullBackoff,
-                                     this->Opts.MaxFullBackoff);
-  Of.FullUntil = Now + std::max<Micros>(Likely, RoomIn);
+  GateState &State = this->Gates[Gate];
+  Micros UntilSlotFree(State.Load.latency_us() /
+                       std::max<uint32_t>(1, State.Load.slots()));
+  Micros Backoff = std::clamp<Micros>(UntilSlotFree, this->Opts.MinFullBackoff,
+                                      this->Opts.MaxFullBackoff);
+  State.FullUntil = Now + std::max<Micros>(Backoff, RetryAfter);
 }
 
 void LoadBalancer::markUnreachable(const std::string &Gate, TimePoint Now) {
@@ -388,43 +423,45 @@
   this->Gates[Gate].Draining = false;
 }
 
-void LoadBalancer::updateInstance(const Instance &One) {
-  State &Of = this->Gates[One.Name];
-  std::pair<std::string, uint64_t> Start(One.Upstream, One.Incarnation);
-  if (Of.Start && *Of.Start != Start) {
-    State Fresh;
-    Fresh.Outstanding = Of.Outstanding;
-    Of = Fresh;
+void LoadBalancer::updateInstance(const Instance &Gate) {
+  GateState &State = this->Gates[Gate.Name];
+  std::pair<std::string, uint64_t> UpstreamStart(Gate.Upstream,
+                                                 Gate.Incarnation);
+  if (State.UpstreamStart && *State.UpstreamStart != UpstreamStart) {
+    GateState Fresh;
+    Fresh.Outstanding = State.Outstanding;
+    State = Fresh;
   }
-  // The gate tells whoever has a link to it that it is open again. Others would
-  // leave it aside for good.
-  bool Back = !Of.Listed || (Of.Leaving && !One.Leaving);
-  Of.Draining &= !Back;
-  Of.Start = Start;
-  Of.Listed = true;
-  Of.Leaving = One.Leaving;
+  // A gate announces only over its open links that it accepts calls again.
+  // Entries without a link would otherwise leave it out for good.
+  bool Reopened = !State.Listed || (State.Leaving && !Gate.Leaving);
+  State.Draining &= !Reopened;
+  State.UpstreamStart = UpstreamStart;
+  State.Listed = true;
+  State.Leaving = Gate.Leaving;
 }
 
 void LoadBalancer::retainOnly(const std::set<std::string> &Listed) {
-  std::erase_if(this->Gates, [&](const auto &One) {
-    return !Listed.count(One.first) && One.second.Outstanding == 0;
+  std::erase_if(this->Gates, [&](const auto &NamedState) {
+    return !Listed.count(NamedState.first) &&
+           NamedState.second.Outstanding == 0;
   });
-  for (auto &[Name, Of] : this->Gates)
-    Of.Listed = Listed.count(Name) != 0;
+  for (auto &[Name, State] : this->Gates)
+    State.Listed = Listed.count(Name) != 0;
 }
 
 std::optional<Millis>
 LoadBalancer::shortestRetryAfter(const std::vector<const Instance *> &Upstreams,
                                  TimePoint Now) const {
-  std::optional<Millis> Best;
-  for (const Instance *One : Upstreams) {
-    auto Found = this->Gates.find(One->Name);
+  std::optional<Millis> Shortest;
+  for (const Instance *Gate : Upstreams) {
+    auto Found = this->Gates.find(Gate->Name);
     if (Found == this->Gates.end() || Found->second.FullUntil <= Now)
       continue;
     Millis Wait = toMillis(Found->second.FullUntil - Now);
-    Best = Best ? std::min(*Best, Wait) : Wait;
+    Shortest = Shortest ? std::min(*Shortest, Wait) : Wait;
   }
-  return Best;
+  return Shortest;
 }
 
 } // namespace hickorylift
--- a/src/routing/LoadBalancer.h
+++ b/src/routing/LoadBalancer.h
@@ -13,20 +13,23 @@
 #include <string>
 #include <vector>
 
-// A LoadBalancer picks the gate for a call, from what the answers of the gates
-// themselves have shown.
+// LoadBalancer selects the gate to which an entry sends a call. It estimates
+// load, run time, round-trip time and failure rate of each gate from the
+// answers that the entry has received.
 //
-//   LoadBalancer Choose(LoadBalancer::Options(), "north", "portal-1",
-//   /*Seed=*/7); const Instance *Gate = Choose.pick(Upstreams, Tried, Now);
-//   Choose.recordStart(Gate->Name);
-//   Choose.recordEnd(Gate->Name, /*Answered=*/true, Took, Now);
-//   Choose.recordLoad(Gate->Name, Load, Now);
+//   LoadBalancer Balancer(LoadBalancer::Options(), "north", "portal-1",
+//                         /*Seed=*/7);
+//   const Instance *Gate = Balancer.pick(Upstreams, Tried, Now);
+//   Balancer.recordStart(Gate->Name);
+//   Balancer.recordEnd(Gate->Name, /*Answered=*/true, Took, Now);
+//   Balancer.recordLoad(Gate->Name, Load, Now);
 
 namespace hickorylift {
 
 class LoadBalancer {
 public:
-  /// Soonest is ours; the others are there to measure it against.
+  /// ShortestExpectedTime is the policy for production. The others are
+  /// baselines to compare it with.
   enum class Policy {
     ShortestExpectedTime,
     HotCold,
@@ -35,85 +38,96 @@
     LeastLoaded
   };
 
-  /// What is to be placed.
+  /// Describes the call for which a gate is selected.
   struct CallInfo {
-    /// Of the request's body.
+    /// Length of the request body.
     uint64_t BodyBytes = 0;
-    /// Within this an answer is worth most; zero where nothing is said.
+    /// An answer within this time is worth most to the caller; zero if the
+    /// route has no target.
     Millis TargetLatency{0};
-    /// Calls of one route take about as long as each other.
+    /// Name of the route. Calls of one route take about the same time.
     std::string Route;
   };
 
   struct Options {
     Policy SelectionPolicy = Policy::ShortestExpectedTime;
-    /// Candidates drawn for one call, by Hot and by Soonest. Few gates are all
-    /// looked at; among many, a draw keeps a decision cheap.
+    /// Number of gates compared for one call: by HotCold, and by
+    /// ShortestExpectedTime. If there are no more gates than this, all are
+    /// compared; of many, a random sample keeps a decision cheap.
     size_t HotColdSampleSize = 3;
     size_t SampleSize = 12;
-    /// So many of those that Soonest draws are of other data centres, if there
-    /// are as many; the others are of the own one. Drawn from all gates alike,
-    /// one draw of eight in six holds none of the own one where there are five
-    /// data centres, and its call crosses for nothing; with two of other ones,
-    /// the room that these have is found too seldom.
+    /// How many gates of the sample of ShortestExpectedTime are in remote data
+    /// centres, if there are as many; the others are local. If samples of eight
+    /// were drawn from all gates alike, one sample in six would contain no
+    /// local gate in a fleet of five data centres, and its call would leave the
+    /// data centre without need. With only two remote gates, free capacity in
+    /// remote data centres is found too rarely.
     size_t RemoteSampleSize = 6;
-    /// Run time assumed where no gate of a service has told any.
+    /// Run time assumed for a route until a gate has reported one.
     Micros InitialRunTime{20000};
-    /// Slots assumed of a gate that has told nothing.
+    /// Slots assumed for a gate if neither it nor its list entry gives any.
     uint32_t InitialSlots = 8;
-    /// The way to a gate of the own data centre, and how much longer a wait is
-    /// accepted there before a call leaves the data centre: bytes between data
-    /// centres are dear, and the way may be cut. A share of the target besides:
-    /// an answer well before its target is worth no more to its caller. More
-    /// for each kilobyte of body.
+    /// Least round-trip time assumed to a gate of the local and of a remote
+    /// data centre. The two options after them say how much longer a
+    /// wait is accepted locally before a call leaves the data centre, because
+    /// traffic between data centres is expensive and the connection may be cut:
+    /// by a share of the target latency, since an answer well before its target
+    /// is worth no more to the caller, and by a time for each kilobyte of body.
     Micros MinLocalRtt{500};
     Micros MinRemoteRtt{5000};
     double RemoteTargetShare = 0.3;
     Micros RemoteCostPerKilobyte{2000};
-    /// Entries that learn the same at the same time must not all choose the
-    /// same gate: each expected time is drawn up to this share longer.
+    /// Each expected time is lengthened by a random share of at most this much,
+    /// so that entries which receive the same reports at the same time do not
+    /// all select the same gate.
     double JitterShare = 0.2;
-    /// Weight of the newest answer in a gate's share of failures, what a sure
-    /// failure counts as, and the time in which a share halves.
+    /// Weight of the newest answer in a gate's failure rate, the time that a
+    /// certain failure costs if a call has no target latency, and the time in
+    /// which a failure rate halves.
     double FailureWeight = 0.1;
     Millis FailureCost{300};
     Millis FailureHalfLife{1000};
-    /// What a gate said of its queue, and of its run time, halves in weight.
+    /// Times in which the queue and the latency factor of a gate halve in
+    /// weight after its last report of them.
     Millis QueueHalfLife{200};
     Millis LatencyFactorHalfLife{3000};
-    /// Weight of one answer in what the way to a gate takes, there and back,
-    /// and the time in which a way that was long halves: one that nobody is
-    /// sent over cannot show that it is free again.
+    /// Weight of one answer in the round-trip time to a gate, and the time in
+    /// which a long round-trip time halves: while no calls are sent to a gate,
+    /// no answer can show that its link is free again.
     double RttWeight = 0.3;
     Millis RttHalfLife{1000};
-    /// A body from this length on is long. What it takes until it is whole at a
-    /// gate shows in the answers to such calls only.
+    /// A body longer than this is long. How long it takes until such a body has
+    /// arrived at a gate shows only in the answers to calls with long bodies.
     uint64_t LongBodyBytes = 16 * 1024;
-    /// Weight of one run in a route's usual time, and of one in a gate's pace:
-    /// at least that, and more the longer ago the last one was, by half for
-    /// each second.
+    /// Weight of one run in a route's usual run time.
     double RunTimeWeight = 0.05;
+    /// Weight of one run in a gate's latency factor: at least
+    /// LatencyFactorWeight, and more the longer ago the previous run was. The
+    /// weight of the old value halves in LatencyFactorUpdateHalfLife.
     double LatencyFactorWeight = 0.1;
     Millis LatencyFactorUpdateHalfLife{1000};
-    /// Routes whose usual time is remembered.
+    /// Number of routes whose usual run time is remembered.
     size_t MaxRoutes = 10000;
-    /// What a gate said of its load counts for this long.
+    /// HotCold ignores load reports older than this.
     Millis LoadMaxAge{1000};
-    /// A gate is full, for the draw, from this share of its slots on.
+    /// HotCold considers a gate full (hot) from this share of its slots on.
     double HotThreshold = 0.9;
-    /// Failures in a row that eject a gate, and for how long.
+    /// Consecutive failures after which a gate is ejected, and for how long.
     uint32_t EjectAfter = 3;
     Millis EjectFor{2000};
-    /// At most this share of a service's gates is ejected at once.
+    /// If more than this share of a service's gates is ejected, ejected gates
+    /// are selected like the others.
     double MaxEjectedShare = 0.5;
-    /// Bounds of how long a gate without room is left out. Longer, and its
-    /// slots stand idle before anyone comes back.
+    /// Bounds of the time for which a gate without capacity is left out. If it
+    /// were left out longer, its slots would be idle until calls are sent to it
+    /// again.
     Millis MinFullBackoff{1};
     Millis MaxFullBackoff{50};
-    /// Weight of the newest answer in the mean latency.
+    /// Weight of the newest answer in the mean latency, for HotCold.
     double LatencyWeight = 0.2;
-    /// A gate that is not chosen cannot show that it has become faster: what
-    /// it is remembered for halves in this time.
+    /// Time in which the mean latency of a gate halves while it receives no
+    /// calls: a gate that is not selected cannot show that it has become
+    /// faster.
     Millis LatencyHalfLife{1000};
   };
 
@@ -122,139 +136,157 @@
       : Opts(Opts), DataCentre(std::move(DataCentre)), Self(std::move(Self)),
         Random(Seed) {}
 
-  /// Null where no candidate is left. Own upstream first while it has room,
-  /// then the own data centre, then the others.
+  /// Selects a gate, or returns null if none is available. Prefers the gate of
+  /// this node while it has capacity, then gates of the local data centre, then
+  /// remote ones.
   const Instance *pick(const std::vector<const Instance *> &Upstreams,
                        const std::set<std::string> &Tried, TimePoint Now,
-                       const CallInfo &For);
+                       const CallInfo &Call);
   const Instance *pick(const std::vector<const Instance *> &Upstreams,
                        const std::set<std::string> &Tried, TimePoint Now) {
     return this->pick(Upstreams, Tried, Now, CallInfo());
   }
 
+  /// Records that a call was sent to the gate.
   void recordStart(const std::string &Gate);
-  /// A call ended. Answered is false if the gate or its link failed.
+  /// Records that a call ended. Answered is false if the gate or its link
+  /// failed.
   void recordEnd(const std::string &Gate, bool Answered, Clock::duration Took,
                  TimePoint Now);
-  /// An answer of the upstream itself: whether it was a failure of its own.
+  /// Records whether an answer of the upstream reports a failure of its own.
   void recordOutcome(const std::string &Gate, bool Failure, TimePoint Now);
-  /// A call of that route ran so long at the upstream, the wait not counted.
+  /// Records how long a call of Route ran at the upstream, without the wait for
+  /// a slot.
   void recordRunTime(const std::string &Gate, const std::string &Route,
                      Micros Length, TimePoint Now);
-  /// An answer was so long on the way, there and back.
-  void recordRtt(const std::string &Gate, Micros Way, TimePoint Now);
-  /// A call with a long body was answered, and so long of that was not its run.
+  /// Records the round-trip time of a call.
+  void recordRtt(const std::string &Gate, Micros Rtt, TimePoint Now);
+  /// Records how much of the time until the answer to a call with a long body
+  /// was not its run.
   void recordBodyTransfer(const std::string &Gate, Micros Took, TimePoint Now);
+  /// Records the load that the gate reports.
   void recordLoad(const std::string &Gate, const wire::Load &Load,
                   TimePoint Now);
-  /// The gate refused for want of room; it is left out until one of its slots
-  /// is likely to have come free, and while it has said that none does.
-  void recordRefusal(const std::string &Gate, Millis RoomIn, TimePoint Now);
-  /// The gate takes nothing new. It stays out until the list forgets it, or
-  /// until it answers again.
+  /// The gate refused a call for lack of capacity. It is left out until one of
+  /// its slots is likely to be free, and at least for RetryAfter, the time for
+  /// which the gate itself expects none.
+  void recordRefusal(const std::string &Gate, Millis RetryAfter, TimePoint Now);
+  /// The gate accepts no new calls. It is left out until clearDraining(), or
+  /// until updateInstance() removes the mark.
   void markDraining(const std::string &Gate);
   void clearDraining(const std::string &Gate);
-  /// Nobody answers there, or not who was meant; it is left out for a while,
-  /// or until somebody does, also where no other is left. Unlike failed answers
-  /// this is certain, and a call that waits there could be refused at once.
+  /// The gate's address does not answer, or another process than the expected
+  /// one answers. The gate is left out for EjectFor or until markReachable(),
+  /// even if no other gate is left: unlike failed answers this is certain, and
+  /// a call that would wait there can be refused at once.
   void markUnreachable(const std::string &Gate, TimePoint Now);
   void markReachable(const std::string &Gate);
-  /// What the list says of a gate. If another start of its upstream stands
-  /// there now, what was learnt of the last one is forgotten: its pace, its
-  /// failures and its drain mark would keep callers from one that is well. A
-  /// drain mark ends also where the list takes back why the gate closed: the
-  /// gate is on it again, or is not leaving any more.
-  void updateInstance(const Instance &One);
-  /// Forgets the gates that are on no list any more.
+  /// Takes over a gate's entry in the instance list. If the entry names another
+  /// start of the upstream than before, everything recorded for the last one is
+  /// discarded: its latency factor, failures and drain mark would keep calls
+  /// away from a healthy gate. A drain mark also ends when the list withdraws
+  /// the reason why the gate closed: the gate is listed again, or is no longer
+  /// marked as leaving.
+  void updateInstance(const Instance &Gate);
+  /// Removes the gates that are on no list any more.
   void retainOnly(const std::set<std::string> &Listed);
 
   bool isEjected(const std::string &Gate, TimePoint Now) const;
-  /// Whether it may be sent anything, for all that is known.
+  /// Whether calls may be sent to the gate, as far as this entry knows.
   bool isAvailable(const Instance &Gate, TimePoint Now) const;
-  /// In what time the first of the gates that refused for want of room may be
-  /// asked again; nothing where none of them did so lately.
+  /// The time until the first of the gates that refused for lack of capacity
+  /// may be asked again; nothing if no gate is left out for that reason.
   std::optional<Millis>
   shortestRetryAfter(const std::vector<const Instance *> &Upstreams,
                      TimePoint Now) const;
 
 private:
-  struct State {
+  struct GateState {
+    // Calls of this entry that have not ended.
     uint32_t Outstanding = 0;
-    // Sent since the gate last told its load.
-    uint32_t SentSince = 0;
-    // Its run times against those of all gates, route by route; 0 where
-    // nothing is known.
-    double Pace = 0;
-    TimePoint PaceAt;
-    // Microseconds that the way takes, there and back.
-    double Way = 0;
-    TimePoint WayAt;
-    // The same of calls with long bodies, the wait at the gate included.
-    double BodyWay = 0;
-    TimePoint BodyWayAt;
-    double FailShare = 0;
-    TimePoint FailAt;
+    // Calls sent since the gate last reported its load.
+    uint32_t SentSinceReport = 0;
+    // Run times at this gate relative to those at all gates, each compared
+    // within its route; 0 if unknown.
+    double LatencyFactor = 0;
+    TimePoint LatencyFactorAt;
+    // Round-trip time in microseconds.
+    double RttUs = 0;
+    TimePoint RttAt;
+    // The same for calls with long bodies, including the wait at the gate.
+    double BodyRttUs = 0;
+    TimePoint BodyRttAt;
+    double FailureRate = 0;
+    TimePoint FailureRateAt;
     wire::Load Load;
     std::optional<TimePoint> LoadAt;
     double MeanLatencyUs = 0;
     TimePoint LatencyAt;
-    uint32_t FailuresInRow = 0;
+    uint32_t ConsecutiveFailures = 0;
     TimePoint EjectedUntil;
     TimePoint FullUntil;
     TimePoint UnreachableUntil;
     bool Draining = false;
-    // Which start of which upstream all this was learnt of.
-    std::optional<std::pair<std::string, uint64_t>> Start;
-    // What the list says of it.
+    // Name and incarnation of the upstream for which all this was recorded.
+    std::optional<std::pair<std::string, uint64_t>> UpstreamStart;
+    // Whether the gate is on the instance list, and marked there as leaving.
     bool Listed = false;
     bool Leaving = false;
   };
 
   std::vector<const Instance *>
-  usable(const std::vector<const Instance *> &Upstreams,
-         const std::set<std::string> &Tried, TimePoint Now);
-  const Instance *pickOwn(const std::vector<const Instance *> &Among,
-                          TimePoint Now);
-  const Instance *pickAmong(std::vector<const Instance *> Among, TimePoint Now);
-  const Instance *pickHot(std::vector<const Instance *> &Among, TimePoint Now);
-  const Instance *pickSoonest(const std::vector<const Instance *> &Among,
-                              const CallInfo &For, TimePoint Now);
+  usableGates(const std::vector<const Instance *> &Upstreams,
+              const std::set<std::string> &Tried, TimePoint Now);
+  const Instance *pickSelf(const std::vector<const Instance *> &Candidates,
+                           TimePoint Now);
+  const Instance *pickByPolicy(std::vector<const Instance *> Candidates,
+                               TimePoint Now);
+  const Instance *pickHotCold(std::vector<const Instance *> &Candidates,
+                              TimePoint Now);
+  const Instance *
+  pickShortestExpectedTime(const std::vector<const Instance *> &Candidates,
+                           const CallInfo &Call, TimePoint Now);
   std::vector<const Instance *>
-  drawSoonest(const std::vector<const Instance *> &Among);
-  double bestPace(const std::vector<const Instance *> &Among) const;
-  double expected(const Instance &Gate, const State &Of, double BestPace,
-                  const CallInfo &For, TimePoint Now) const;
-  double way(const Instance &Gate, const State &Of, const CallInfo &For,
-             TimePoint Now) const;
-  double failShare(const State &Of, TimePoint Now) const;
-  double share(const State &Of, TimePoint Now) const;
-  double cost(const State &Of, TimePoint Now) const;
+  sampleGates(const std::vector<const Instance *> &Candidates);
+  double
+  bestLatencyFactor(const std::vector<const Instance *> &Candidates) const;
+  double expectedTime(const Instance &Gate, const GateState &State,
+                      double BestFactor, const CallInfo &Call,
+                      TimePoint Now) const;
+  double networkTime(const Instance &Gate, const GateState &State,
+                     const CallInfo &Call, TimePoint Now) const;
+  double failureRate(const GateState &State, TimePoint Now) const;
+  double utilization(const GateState &State, TimePoint Now) const;
+  double expectedLatency(const GateState &State, TimePoint Now) const;
 
   Options Opts;
   std::string DataCentre;
   std::string Self;
   std::mt19937_64 Random;
-  std::map<std::string, State> Gates;
-  // Microseconds that a call of the route usually runs, at all gates together.
-  std::map<std::string, double> UsualRun;
-  std::map<std::string, size_t> NextInTurn;
+  std::map<std::string, GateState> Gates;
+  // Usual run time of a route in microseconds, over all gates.
+  std::map<std::string, double> UsualRunTime;
+  // For RoundRobin: the next index for each service.
+  std::map<std::string, size_t> NextIndex;
 };
 
-/// Retries allowed for each service: a share of the first tries, so that a
-/// failing service is not asked ever more often for failing.
+/// Limits the retries of each service to a share of its first tries, so that a
+/// failing service does not receive more and more calls because it fails.
 class RetryBudget {
 public:
-  /// Percent of first tries, and the reserve that an idle service has.
+  /// Reserve is the number of retries that an idle service has available.
   explicit RetryBudget(double Reserve = 10)
       : Reserve(Reserve), Tokens(0, Reserve) {}
 
+  /// Records a first try, which earns Percent of a retry.
   void recordFirstTry(double Percent) { this->Tokens.earn(Percent / 100); }
+  /// Spends one retry; false if none is available.
   bool spendRetry(TimePoint Now) { return this->Tokens.take(Now); }
-  /// What this node may keep of a reserve that all nodes share.
-  void limitReserve(double New) {
-    if (New < this->Reserve)
-      this->Tokens = TokenBucket(0, New);
-    this->Reserve = std::min(this->Reserve, New);
+  /// Lowers the reserve to this node's part of a reserve that all nodes share.
+  void limitReserve(double NewReserve) {
+    if (NewReserve < this->Reserve)
+      this->Tokens = TokenBucket(0, NewReserve);
+    this->Reserve = std::min(this->Reserve, NewReserve);
   }
 
 private:
