--- a/src/membership/Membership.cpp
+++ b/src/membership/Membership.cpp
@@ -5,15 +5,17 @@
 
 #include <algorithm>
 
-// The spreading tree of a data centre is the k-ary heap over its instances,
-// ordered by the hash of a salt and the name: an instance's parent is at index
-// (i - 1) / k. Nothing has to be agreed on. A second tree with another salt
-// gives the backup links; an inner node of the first is most likely a leaf of
-// the second, so one death seldom cuts both.
+// The spreading tree of a data centre is a k-ary heap over its instances,
+// ordered by a hash of a salt and the instance's name: the parent of the
+// instance at index i is at (i - 1) / k. Every node computes the tree from the
+// list, so the nodes need no protocol to agree on it. A second tree with
+// another salt gives the backup links. An inner node of the first tree is most
+// likely a leaf of the second, so the failure of one node seldom cuts both.
 //
-// The readers are the first of the same order: the root has nobody above it to
-// be told by, and so reads in any case, and what it reads goes down the tree at
-// once. With readers in an order of their own each data centre had one more.
+// The readers are the first instances in the order of the spreading tree. The
+// root has no parent to receive documents from, so it reads the platform in any
+// case, and what it reads goes down the tree at once. Readers chosen in another
+// order would make one reader more in each data centre.
 
 namespace hickorylift {
 
@@ -25,10 +27,10 @@
 constexpr int64_t MaxSlots = 100000;
 constexpr int64_t MaxColdMs = 3600 * 1000;
 
-std::string address(JsonObject &From, const std::string &Key) {
-  std::string Text = From.string(Key, std::nullopt);
+std::string readAddress(JsonObject &Fields, const std::string &Key) {
+  std::string Text = Fields.string(Key, std::nullopt);
   if (!Text.empty() && !parseAddress(Text))
-    From.fault(Key, "expected an address \"ip:port\" that can be reached");
+    Fields.fault(Key, "expected an address \"ip:port\" that can be reached");
   return Text;
 }
 
@@ -44,42 +46,42 @@
   return Topic.substr(ListPrefix.size());
 }
 
-std::string writeInstance(const Instance &One) {
-  Json::Value Out(Json::objectValue);
-  Out["name"] = One.Name;
-  Out["data_centre"] = One.DataCentre;
-  Out["service"] = One.Service;
-  Out["node"] = One.Node;
-  Out["operator"] = One.Operator;
-  Out["state"] = One.Leaving ? "leaving" : "live";
-  if (!One.Upstream.empty())
-    Out["upstream"] = One.Upstream;
-  if (One.Slots)
-    Out["slots"] = One.Slots;
-  if (One.Incarnation)
-    Out["incarnation"] = Json::UInt64(One.Incarnation);
-  if (One.ColdLeft.count() > 0)
-    Out["cold_ms"] = Json::Int64(One.ColdLeft.count());
-  return writeJson(Out);
+std::string writeInstance(const Instance &Source) {
+  Json::Value Fields(Json::objectValue);
+  Fields["name"] = Source.Name;
+  Fields["data_centre"] = Source.DataCentre;
+  Fields["service"] = Source.Service;
+  Fields["node"] = Source.Node;
+  Fields["operator"] = Source.Operator;
+  Fields["state"] = Source.Leaving ? "leaving" : "live";
+  if (!Source.Upstream.empty())
+    Fields["upstream"] = Source.Upstream;
+  if (Source.Slots)
+    Fields["slots"] = Source.Slots;
+  if (Source.Incarnation)
+    Fields["incarnation"] = Json::UInt64(Source.Incarnation);
+  if (Source.ColdLeft.count() > 0)
+    Fields["cold_ms"] = Json::Int64(Source.ColdLeft.count());
+  return writeJson(Fields);
 }
 
 namespace {
 
 Instance readFields(JsonObject &Top) {
-  Instance One;
-  One.Name = Top.name("name");
-  One.DataCentre = Top.name("data_centre");
-  One.Service = Top.name("service");
-  One.Node = address(Top, "node");
-  One.Operator = address(Top, "operator");
-  One.Leaving =
+  Instance Result;
+  Result.Name = Top.name("name");
+  Result.DataCentre = Top.name("data_centre");
+  Result.Service = Top.name("service");
+  Result.Node = readAddress(Top, "node");
+  Result.Operator = readAddress(Top, "operator");
+  Result.Leaving =
       Top.oneOf("state", std::nullopt, {"live", "leaving"}) == "leaving";
-  One.Upstream = Top.string("upstream", "");
-  One.Slots = static_cast<uint32_t>(Top.integer("slots", 0, 0, MaxSlots));
-  One.Incarnation =
+  Result.Upstream = Top.string("upstream", "");
+  Result.Slots = static_cast<uint32_t>(Top.integer("slots", 0, 0, MaxSlots));
+  Result.Incarnation =
       static_cast<uint64_t>(Top.integer("incarnation", 0, 0, INT64_MAX));
-  One.ColdLeft = Millis(Top.integer("cold_ms", 0, 0, MaxColdMs));
-  return One;
+  Result.ColdLeft = Millis(Top.integer("cold_ms", 0, 0, MaxColdMs));
+  return Result;
 }
 
 } // namespace
@@ -92,11 +94,12 @@
   if (!Root)
     return std::nullopt;
   JsonObject Top({File, Text, &Faults}, *Root, "");
-  Instance One = readFields(Top);
-  // Unknown keys are passed over: the platform may say more than we read.
+  Instance Result = readFields(Top);
+  // Unknown keys are ignored: the platform may send more fields than this build
+  // reads.
   if (Faults.size() != Before)
     return std::nullopt;
-  return One;
+  return Result;
 }
 
 Result<DocumentPtr> readInstanceList(const std::string &Text,
@@ -112,36 +115,38 @@
     for (Json::ArrayIndex I = 0; I < (*Root)["instances"].size(); ++I) {
       JsonObject Top({File, Text, &Faults}, (*Root)["instances"][I],
                      "/instances/" + std::to_string(I));
-      Instance One = readFields(Top);
-      if (One.DataCentre != DataCentre)
+      Instance Member = readFields(Top);
+      if (Member.DataCentre != DataCentre)
         Top.fault("data_centre", "expected " + DataCentre);
-      Entries[One.Name] = makeEntry(One.Name, writeInstance(One));
+      Entries[Member.Name] = makeEntry(Member.Name, writeInstance(Member));
     }
   if (!Faults.empty())
     return Error{Errc::Invalid, "read-list", "platform", Faults.front().text()};
   return Document::make(Revision, Revision, std::move(Entries));
 }
 
-// Reading JSON is most of the cost, and of a list of hundreds one instance has
-// changed: the others are taken over as they were read.
+// Parsing JSON is most of the cost, and usually one instance in a list of
+// hundreds has changed. Instances whose entry has the same hash as before are
+// kept instead of parsed again.
 void Membership::update(const std::string &DataCentre, const Document &List) {
-  std::map<std::string, Listed> &Old = this->Lists[DataCentre];
-  std::map<std::string, Listed> Read;
+  std::map<std::string, ListedInstance> &Old = this->Lists[DataCentre];
+  std::map<std::string, ListedInstance> New;
   bool Changed = false;
-  for (const auto &[Name, Held] : List.entries()) {
+  for (const auto &[Name, Entry] : List.entries()) {
     auto Known = Old.find(Name);
-    if (Known != Old.end() && Known->second.Hash == Held.Hash) {
-      Read.emplace(Name, std::move(Known->second));
+    if (Known != Old.end() && Known->second.Hash == Entry.Hash) {
+      New.emplace(Name, std::move(Known->second));
       continue;
     }
     Changed = true;
     FaultList Faults;
-    if (std::optional<Instance> One = readInstance(*Held.Bytes, Name, Faults))
-      Read[Name] = {Held.Hash,
-                    std::make_shared<const Instance>(std::move(*One))};
+    if (std::optional<Instance> Member =
+            readInstance(*Entry.Bytes, Name, Faults))
+      New[Name] = {Entry.Hash,
+                   std::make_shared<const Instance>(std::move(*Member))};
   }
-  Changed |= Read.size() != Old.size();
-  Old = std::move(Read);
+  Changed |= New.size() != Old.size();
+  Old = std::move(New);
   if (Changed)
     this->rebuild();
 }
@@ -151,25 +156,26 @@
   this->ByName.clear();
   this->ByService.clear();
   for (const auto &[DataCentre, List] : this->Lists)
-    for (const auto &[Name, One] : List)
-      this->ByName[Name] = One.Who.get();
-  for (const auto &[Name, One] : this->ByName)
-    this->ByService[One->Service].push_back(One);
-  this->sortOpen();
+    for (const auto &[Name, Listed] : List)
+      this->ByName[Name] = Listed.Value.get();
+  for (const auto &[Name, Member] : this->ByName)
+    this->ByService[Member->Service].push_back(Member);
+  this->rebuildRoutable();
 }
 
-void Membership::sortOpen() {
-  this->OpenByService = this->ByService;
-  for (auto &[Service, Among] : this->OpenByService)
-    std::erase_if(
-        Among, [this](const Instance *One) { return this->isEvacuated(*One); });
+void Membership::rebuildRoutable() {
+  this->RoutableByService = this->ByService;
+  for (auto &[Service, Members] : this->RoutableByService)
+    std::erase_if(Members, [this](const Instance *Member) {
+      return this->isEvacuated(*Member);
+    });
 }
 
 bool Membership::setEvacuated(const std::set<std::string> &DataCentres) {
   if (DataCentres == this->Evacuated)
     return false;
   this->Evacuated = DataCentres;
-  this->sortOpen();
+  this->rebuildRoutable();
   return true;
 }
 
@@ -179,10 +185,10 @@
 }
 
 const std::vector<const Instance *> &
-Membership::findIn(const ServiceMap &Of, const std::string &Service) {
+Membership::findIn(const ServiceMap &Services, const std::string &Service) {
   static const std::vector<const Instance *> None;
-  auto Found = Of.find(Service);
-  return Found == Of.end() ? None : Found->second;
+  auto Found = Services.find(Service);
+  return Found == Services.end() ? None : Found->second;
 }
 
 const std::vector<const Instance *> &
@@ -192,14 +198,14 @@
 
 const std::vector<const Instance *> &
 Membership::routableUpstreams(const std::string &Service) const {
-  return findIn(this->OpenByService, Service);
+  return findIn(this->RoutableByService, Service);
 }
 
 std::vector<std::string> Membership::dataCentres() const {
-  std::vector<std::string> Out;
+  std::vector<std::string> Names;
   for (const auto &[Name, List] : this->Lists)
-    Out.push_back(Name);
-  return Out;
+    Names.push_back(Name);
+  return Names;
 }
 
 size_t Membership::size(const std::string &DataCentre) const {
@@ -208,33 +214,33 @@
 }
 
 std::vector<const Instance *>
-Membership::ordered(const std::string &DataCentre,
-                    const std::string &Salt) const {
+Membership::treeOrder(const std::string &DataCentre,
+                      const std::string &Salt) const {
   auto Found = this->Lists.find(DataCentre);
   if (Found == this->Lists.end())
     return {};
   std::vector<std::pair<uint64_t, const Instance *>> Ranked;
-  for (const auto &[Name, One] : Found->second)
-    Ranked.emplace_back(rendezvousScore(Salt, Name), One.Who.get());
+  for (const auto &[Name, Listed] : Found->second)
+    Ranked.emplace_back(rendezvousScore(Salt, Name), Listed.Value.get());
   std::sort(Ranked.begin(), Ranked.end(), [](const auto &A, const auto &B) {
     return A.first != B.first ? A.first < B.first
                               : A.second->Name < B.second->Name;
   });
-  std::vector<const Instance *> Out;
-  for (const auto &[Score, One] : Ranked)
-    Out.push_back(One);
-  return Out;
+  std::vector<const Instance *> Order;
+  for (const auto &[Score, Member] : Ranked)
+    Order.push_back(Member);
+  return Order;
 }
 
 size_t Membership::readerRank(const AvoidSet &Avoid) const {
-  auto Ranked = this->ordered(this->Opts.DataCentre, TreeSalt);
+  auto Ranked = this->treeOrder(this->Opts.DataCentre, TreeSalt);
   size_t Rank = 0;
-  for (const Instance *One : Ranked) {
-    if (One->Name == this->Opts.Self)
+  for (const Instance *Member : Ranked) {
+    if (Member->Name == this->Opts.Self)
       return Rank;
-    Rank += !One->Leaving && !Avoid.count(One->Name);
+    Rank += !Member->Leaving && !Avoid.count(Member->Name);
   }
-  // Not on the list yet: after all that are.
+  // This node is not on the list yet and ranks after all that are.
   return Rank;
 }
 
@@ -243,104 +249,109 @@
          this->readerRank(Avoid) < this->Opts.Readers;
 }
 
-size_t Membership::placeIn(const std::vector<const Instance *> &Order,
+size_t Membership::indexIn(const std::vector<const Instance *> &Order,
                            const std::string &Salt) const {
-  uint64_t Own = rendezvousScore(Salt, this->Opts.Self);
-  // Our place, or the one that we shall have: the list lags, and a node that
-  // is not on it yet needs a parent all the same.
-  size_t Place = 0;
-  while (Place < Order.size() &&
-         rendezvousScore(Salt, Order[Place]->Name) < Own)
-    ++Place;
-  return Place;
+  uint64_t OwnScore = rendezvousScore(Salt, this->Opts.Self);
+  // The index of this node, or the one that it will have once it is listed: the
+  // list lags, and a node that is not on it yet needs a parent as well.
+  size_t Index = 0;
+  while (Index < Order.size() &&
+         rendezvousScore(Salt, Order[Index]->Name) < OwnScore)
+    ++Index;
+  return Index;
 }
 
-// The parent, or the nearest ancestor that is not to be avoided. If all up to
-// the root are, the first of the whole order that is not: everyone below the
-// dead root comes to the same one, which finds itself to be the root. The
-// choice always lies before the chooser in the order, so no circle can form.
-const Instance *Membership::parentIn(const std::string &Salt,
-                                     const AvoidSet &Avoid) const {
-  auto Order = this->ordered(this->Opts.DataCentre, Salt);
-  size_t Place = this->placeIn(Order, Salt);
-  for (size_t Up = Place; Up != 0;) {
-    Up = (Up - 1) / this->Opts.Fanout;
-    if (!Avoid.count(Order[Up]->Name))
-      return Order[Up];
+// Returns the parent, or the nearest ancestor that is not avoided. If all
+// ancestors up to the root are avoided, returns the first instance of the order
+// that is not: all nodes below a dead root then select the same instance, and
+// that instance finds itself to be the root. The selected instance always
+// precedes this node in the order, so no cycle can form.
+const Instance *Membership::parentInTree(const std::string &Salt,
+                                         const AvoidSet &Avoid) const {
+  auto Order = this->treeOrder(this->Opts.DataCentre, Salt);
+  size_t Index = this->indexIn(Order, Salt);
+  for (size_t Ancestor = Index; Ancestor != 0;) {
+    Ancestor = (Ancestor - 1) / this->Opts.Fanout;
+    if (!Avoid.count(Order[Ancestor]->Name))
+      return Order[Ancestor];
   }
-  for (size_t First = 0; First < Place; ++First)
-    if (!Avoid.count(Order[First]->Name))
-      return Order[First];
+  for (size_t Earlier = 0; Earlier < Index; ++Earlier)
+    if (!Avoid.count(Order[Earlier]->Name))
+      return Order[Earlier];
   return nullptr;
 }
 
 const Instance *Membership::parent(const AvoidSet &Avoid) const {
-  return this->parentIn(TreeSalt, Avoid);
+  return this->parentInTree(TreeSalt, Avoid);
 }
 
 const Instance *Membership::root(const std::string &DataCentre,
                                  const AvoidSet &Avoid) const {
-  for (const Instance *One : this->ordered(DataCentre, TreeSalt))
-    if (!Avoid.count(One->Name))
-      return One;
+  for (const Instance *Member : this->treeOrder(DataCentre, TreeSalt))
+    if (!Avoid.count(Member->Name))
+      return Member;
   return nullptr;
 }
 
 std::vector<Neighbour> Membership::neighbours(const AvoidSet &Avoid) const {
-  std::vector<Neighbour> Out;
-  auto Add = [&](const Instance *Who, LinkKind Kind) {
-    bool There = std::any_of(Out.begin(), Out.end(),
-                             [&](const Neighbour &N) { return N.Peer == Who; });
-    if (Who && !There)
-      Out.push_back({Who, Kind});
+  std::vector<Neighbour> Neighbours;
+  auto Add = [&](const Instance *Peer, LinkKind Kind) {
+    bool Known =
+        std::any_of(Neighbours.begin(), Neighbours.end(),
+                    [&](const Neighbour &N) { return N.Peer == Peer; });
+    if (Peer && !Known)
+      Neighbours.push_back({Peer, Kind});
   };
-  Add(this->parentIn(TreeSalt, Avoid), LinkKind::Tree);
-  Add(this->parentIn(BackupSalt, Avoid), LinkKind::Backup);
-  for (const Instance *One : this->readersAbove(Avoid))
-    Add(One, LinkKind::Backup);
-  this->addBridges(Out, Avoid);
-  return Out;
+  Add(this->parentInTree(TreeSalt, Avoid), LinkKind::Tree);
+  Add(this->parentInTree(BackupSalt, Avoid), LinkKind::Backup);
+  for (const Instance *Reader : this->readersBefore(Avoid))
+    Add(Reader, LinkKind::Backup);
+  this->addBridges(Neighbours, Avoid);
+  return Neighbours;
 }
 
-// The readers, and the next few in line, know those before them by a link: when
-// these die with the list still naming them, the next in line notice at once.
+// The readers and the spare readers keep a link to each reader before them in
+// the order. If that reader dies while the list still names it, the next in
+// line detects it at once.
 std::vector<const Instance *>
-Membership::readersAbove(const AvoidSet &Avoid) const {
-  std::vector<const Instance *> Out;
-  for (const Instance *One : this->ordered(this->Opts.DataCentre, TreeSalt)) {
-    if (One->Name == this->Opts.Self)
-      return Out;
-    if (!One->Leaving && !Avoid.count(One->Name))
-      Out.push_back(One);
-    if (Out.size() >= this->Opts.Readers + this->Opts.SpareReaders)
+Membership::readersBefore(const AvoidSet &Avoid) const {
+  std::vector<const Instance *> Readers;
+  for (const Instance *Member :
+       this->treeOrder(this->Opts.DataCentre, TreeSalt)) {
+    if (Member->Name == this->Opts.Self)
+      return Readers;
+    if (!Member->Leaving && !Avoid.count(Member->Name))
+      Readers.push_back(Member);
+    if (Readers.size() >= this->Opts.Readers + this->Opts.SpareReaders)
       break;
   }
   return {};
 }
 
-// The first few of each data centre's tree hold the links to the others. They
-// announce only: while the platform answers everywhere, each data centre's own
-// readers bring the documents, and nothing but heartbeats crosses.
-void Membership::addBridges(std::vector<Neighbour> &Out,
+// The first few instances of each data centre's tree keep the links to the
+// other data centres. Documents are only announced on these links: while the
+// platform answers everywhere, the readers of each data centre get the
+// documents from it, and only heartbeats cross between data centres.
+void Membership::addBridges(std::vector<Neighbour> &Neighbours,
                             const AvoidSet &Avoid) const {
-  auto Living = [&](const std::string &DataCentre) {
-    auto Order = this->ordered(DataCentre, TreeSalt);
-    std::erase_if(Order, [&](const Instance *One) {
-      return Avoid.count(One->Name) != 0;
+  auto Reachable = [&](const std::string &DataCentre) {
+    auto Order = this->treeOrder(DataCentre, TreeSalt);
+    std::erase_if(Order, [&](const Instance *Member) {
+      return Avoid.count(Member->Name) != 0;
     });
     return Order;
   };
-  auto Own = Living(this->Opts.DataCentre);
-  for (size_t I = 0; I < Own.size() && I < this->Opts.Bridges; ++I) {
-    if (Own[I]->Name != this->Opts.Self)
+  auto LocalOrder = Reachable(this->Opts.DataCentre);
+  for (size_t I = 0; I < LocalOrder.size() && I < this->Opts.Bridges; ++I) {
+    if (LocalOrder[I]->Name != this->Opts.Self)
       continue;
     for (const auto &[Other, List] : this->Lists) {
       if (Other <= this->Opts.DataCentre)
         continue;
-      auto Theirs = Living(Other);
-      if (!Theirs.empty())
-        Out.push_back(
-            {Theirs[std::min(I, Theirs.size() - 1)], LinkKind::Bridge});
+      auto RemoteOrder = Reachable(Other);
+      if (!RemoteOrder.empty())
+        Neighbours.push_back({RemoteOrder[std::min(I, RemoteOrder.size() - 1)],
+                              LinkKind::Bridge});
     }
   }
 }
--- a/src/membership/Membership.h
+++ b/src/membership/Membership.h
@@ -11,10 +11,11 @@
 #include <string>
 #include <vector>
 
-// Membership is what a node knows of the fleet: the platform's lists, one for
-// each data centre, as they came to it. It answers who reads the platform, who
-// links to whom, and who serves a service. Every node that has the same lists
-// gives the same answers; nodes whose lists differ for a while agree on most.
+// Membership is a node's view of the fleet: the instance lists of the platform,
+// one for each data centre, as the node has received them. From them it derives
+// which nodes read the platform, which nodes link to each other, and which
+// instances serve a service. Nodes with the same lists derive the same; nodes
+// whose lists differ for a while agree on most.
 //
 //   Membership Fleet({.Self = "portal-3", .DataCentre = "north"});
 //   Fleet.update("north", *ListDocument);
@@ -32,20 +33,22 @@
   std::string Node;
   /// "ip:port" of the node's operator interface.
   std::string Operator;
-  /// The platform marks it as about to go.
+  /// The platform marks the instance as about to be removed.
   bool Leaving = false;
-  /// The upstream process, where the platform tells one start of it from the
-  /// next; else empty.
+  /// Identifies the upstream process, if the platform tells its starts apart;
+  /// else empty.
   std::string Upstream{};
-  /// Calls that this upstream runs at once; 0 for what its service says.
+  /// Number of calls that this upstream runs at once; 0 if the value of its
+  /// service applies.
   uint32_t Slots = 0;
-  /// Tells the starts of one upstream process under the same name apart; the
-  /// greater is the later. 0 where the platform does not say.
+  /// Distinguishes the starts of an upstream process under the same name; the
+  /// greater is the later. 0 if the platform gives none.
   uint64_t Incarnation = 0;
-  /// How much longer it stays cold after its start, when the platform said so.
+  /// How much longer the upstream stays cold after its start, as of the moment
+  /// when the platform reported it.
   Millis ColdLeft{0};
 
-  /// Whether it is the same start of the same upstream process as Other.
+  /// Whether both are the same start of the same upstream process.
   bool sameStart(const Instance &Other) const {
     return this->Upstream == Other.Upstream &&
            this->Incarnation == Other.Incarnation;
@@ -54,31 +57,34 @@
   bool operator==(const Instance &) const = default;
 };
 
-/// The topic of a data centre's list.
+/// Returns the topic of a data centre's instance list.
 std::string listTopic(const std::string &DataCentre);
-/// The inverse; empty if Topic is none.
+/// Returns the data centre of a list topic; empty if Topic is not one.
 std::string dataCentreOfListTopic(const std::string &Topic);
 
-/// An instance as a document's entry, and back.
-std::string writeInstance(const Instance &One);
+/// Converts an instance to the text of a document entry, and back.
+std::string writeInstance(const Instance &Source);
 std::optional<Instance> readInstance(const std::string &Text,
                                      const std::string &File,
                                      FaultList &Faults);
-/// The platform's value for one data centre as a document. Any fault refuses
-/// the whole list.
+/// Parses the platform's value for one data centre into a document. Any fault
+/// rejects the whole list.
 Result<DocumentPtr> readInstanceList(const std::string &Text,
                                      const std::string &DataCentre,
                                      uint64_t Revision);
 
+/// The purpose of a control link between two nodes.
 enum class LinkKind {
-  /// Documents are pushed along it.
+  /// Link to the parent in the spreading tree. Documents are pushed along it.
   Tree,
-  /// Documents are announced along it: the second tree, the ring of data
-  /// centres.
+  /// Documents are only announced along it: links of the second tree and links
+  /// to readers.
   Backup,
+  /// Link to another data centre. Documents are only announced along it.
   Bridge,
-  /// To a seed, by a node that has no list: it is told the lists, finds its
-  /// neighbours, and goes to them for the rest.
+  /// Link to a seed, dialled by a node that has no list. The seed sends the
+  /// lists; the node then finds its neighbours in them and gets all other
+  /// documents from these.
   Seed,
 };
 
@@ -87,24 +93,25 @@
   LinkKind Kind = LinkKind::Tree;
 };
 
-/// Names of instances that this node could not reach lately. What is worked out
-/// with it differs from node to node; the list alone is common to all.
+/// Names of instances that this node could not reach lately. Results that
+/// depend on it differ from node to node; results of the lists alone do not.
 using AvoidSet = std::set<std::string>;
 
 class Membership {
 public:
   struct Options {
-    /// This instance's name and place.
+    /// Name and data centre of this instance.
     std::string Self;
     std::string DataCentre;
-    /// Nodes that watch the platform, in each data centre.
+    /// Number of nodes in each data centre that watch the platform.
     size_t Readers = 2;
-    /// In a fleet of up to this many instances every node reads.
+    /// In a fleet of up to this many instances every node reads the platform.
     size_t AllReadUpTo = 0;
-    /// Nodes next in line to read, which watch over the readers by a link.
+    /// Number of nodes next in line to read. They keep links to the readers to
+    /// detect their failure.
     size_t SpareReaders = 2;
-    /// Children of one node in a spreading tree. More make the tree flatter
-    /// and load its inner nodes more.
+    /// Children of one node in a spreading tree. A greater value makes the tree
+    /// flatter and puts more load on its inner nodes.
     size_t Fanout = 4;
     /// Nodes of each data centre that link to the other data centres.
     size_t Bridges = 2;
@@ -112,70 +119,76 @@
 
   explicit Membership(Options Opts) : Opts(std::move(Opts)) {}
 
-  /// Takes a newer list of one data centre.
+  /// Replaces the list of one data centre.
   void update(const std::string &DataCentre, const Document &List);
 
-  /// Takes which data centres are evacuated. False if these are the same.
+  /// Sets which data centres are evacuated. Returns false if nothing changes.
   bool setEvacuated(const std::set<std::string> &DataCentres);
   const std::set<std::string> &evacuated() const { return this->Evacuated; }
-  bool isEvacuated(const Instance &One) const {
-    return this->Evacuated.count(One.DataCentre) != 0;
+  bool isEvacuated(const Instance &Member) const {
+    return this->Evacuated.count(Member.DataCentre) != 0;
   }
 
-  /// Whether this node is among its data centre's readers. True while its own
-  /// list is empty: with nothing known, someone has to ask.
+  /// Whether this node is a reader of its data centre. True while the list of
+  /// its data centre is empty: a node that knows nothing has to ask the
+  /// platform itself.
   bool isReader(const AvoidSet &Avoid = {}) const;
-  /// Whether the fleet is so small that every node reads.
+  /// Whether the fleet is so small that every node reads the platform.
   bool everyNodeReads() const { return this->size() <= this->Opts.AllReadUpTo; }
-  /// How many would have to be gone for this node to be the first reader.
+  /// The number of nodes that would have to fail before this node becomes the
+  /// first reader.
   size_t readerRank(const AvoidSet &Avoid = {}) const;
-  /// Whom this node dials. Each link is dialled by one end only: by the child
-  /// in a tree, and between data centres by the one whose name sorts first.
+  /// The nodes that this node dials. Only one end dials a link: the child in a
+  /// tree; between data centres, the node of the data centre whose name sorts
+  /// first.
   std::vector<Neighbour> neighbours(const AvoidSet &Avoid = {}) const;
-  /// The parent in the spreading tree, to whom reports go; null at the root.
+  /// The parent in the spreading tree, to which this node reports; null at the
+  /// root.
   const Instance *parent(const AvoidSet &Avoid = {}) const;
   /// The root of a data centre's tree; null if its list is unknown or empty.
   const Instance *root(const std::string &DataCentre,
                        const AvoidSet &Avoid = {}) const;
 
   const Instance *find(const std::string &Name) const;
-  /// All of one service, of all data centres, in the order of their names.
+  /// All instances of a service in all data centres, sorted by name.
   const std::vector<const Instance *> &
   upstreams(const std::string &Service) const;
-  /// The same without those of evacuated data centres.
+  /// The same without the instances of evacuated data centres.
   const std::vector<const Instance *> &
   routableUpstreams(const std::string &Service) const;
   std::vector<std::string> dataCentres() const;
   size_t size() const { return this->ByName.size(); }
   size_t size(const std::string &DataCentre) const;
-  /// Rises with every update that changed anything.
+  /// Increases with every update() that changes an instance.
   uint64_t generation() const { return this->Generation; }
 
 private:
-  std::vector<const Instance *> ordered(const std::string &DataCentre,
-                                        const std::string &Salt) const;
-  size_t placeIn(const std::vector<const Instance *> &Order,
+  std::vector<const Instance *> treeOrder(const std::string &DataCentre,
+                                          const std::string &Salt) const;
+  size_t indexIn(const std::vector<const Instance *> &Order,
                  const std::string &Salt) const;
-  const Instance *parentIn(const std::string &Salt,
-                           const AvoidSet &Avoid) const;
-  std::vector<const Instance *> readersAbove(const AvoidSet &Avoid) const;
-  void addBridges(std::vector<Neighbour> &Out, const AvoidSet &Avoid) const;
+  const Instance *parentInTree(const std::string &Salt,
+                               const AvoidSet &Avoid) const;
+  std::vector<const Instance *> readersBefore(const AvoidSet &Avoid) const;
+  void addBridges(std::vector<Neighbour> &Neighbours,
+                  const AvoidSet &Avoid) const;
   void rebuild();
-  void sortOpen();
+  void rebuildRoutable();
 
-  struct Listed {
+  struct ListedInstance {
+    // Hash of the document entry from which Value was read.
     uint64_t Hash = 0;
-    std::shared_ptr<const Instance> Who;
+    std::shared_ptr<const Instance> Value;
   };
 
   Options Opts;
-  std::map<std::string, std::map<std::string, Listed>> Lists;
+  std::map<std::string, std::map<std::string, ListedInstance>> Lists;
   std::map<std::string, const Instance *> ByName;
   using ServiceMap = std::map<std::string, std::vector<const Instance *>>;
   static const std::vector<const Instance *> &
-  findIn(const ServiceMap &Of, const std::string &Service);
+  findIn(const ServiceMap &Services, const std::string &Service);
   ServiceMap ByService;
-  ServiceMap OpenByService;
+  ServiceMap RoutableByService;
   std::set<std::string> Evacuated;
   uint64_t Generation = 0;
 };
