--- a/src/routing/LoadBalancer.h
+++ b/src/routing/LoadBalancer.h
@@ -67,12 +67,13 @@
     Micros InitialRunTime{20000};
     /// Slots assumed for a gate if neither it nor its list entry gives any.
     uint32_t InitialSlots = 8;
-    /// Least round-trip time assumed to a gate of the local and of a remote
-    /// data centre. The two options after them say how much longer a
-    /// wait is accepted locally before a call leaves the data centre, because
-    /// traffic between data centres is expensive and the connection may be cut:
-    /// by a share of the target latency, since an answer well before its target
-    /// is worth no more to the caller, and by a time for each kilobyte of body.
+    /// Lower bounds of the round-trip time to a gate in the local and in a
+    /// remote data centre. RemoteTargetShare and RemoteCostPerKilobyte set how
+    /// much longer a local wait is accepted before a call leaves the data
+    /// centre, because traffic between data centres is expensive and the
+    /// connection may be cut: a share of the target latency, since an answer
+    /// well before its target is worth no more to the caller, and a time for
+    /// each kilobyte of the body.
     Micros MinLocalRtt{500};
     Micros MinRemoteRtt{5000};
     double RemoteTargetShare = 0.3;
@@ -161,8 +162,8 @@
                      Micros Length, TimePoint Now);
   /// Records the round-trip time of a call.
   void recordRtt(const std::string &Gate, Micros Rtt, TimePoint Now);
-  /// Records how much of the time until the answer to a call with a long body
-  /// was not its run.
+  /// For a call with a long body: records the time until its answer, without
+  /// the run at the upstream.
   void recordBodyTransfer(const std::string &Gate, Micros Took, TimePoint Now);
   /// Records the load that the gate reports.
   void recordLoad(const std::string &Gate, const wire::Load &Load,
