--- a/bench/Slopes.cpp
+++ b/bench/Slopes.cpp
@@ -95,7 +95,7 @@
 std::vector<DocumentPtr> keepBases(const DocumentPtr &Version,
                                    const std::vector<DocumentPtr> &Lists) {
   std::vector<DocumentPtr> Out;
-  for (unsigned I = 0; I < Spreader::Options().KeptBases; ++I) {
+  for (unsigned I = 0; I < Spreader::Options().MaxDeltaBases; ++I) {
     Out.push_back(Document::make(I, I, Version->entries()));
     for (const DocumentPtr &List : Lists)
       Out.push_back(Document::make(I, I, List->entries()));
--- a/scenario/Script.cpp
+++ b/scenario/Script.cpp
@@ -488,7 +488,7 @@
     uint64_t Version = std::strtoull(W.at(2).c_str(), nullptr, 10);
     uint64_t Holding = 0;
     NodeState &Of = this->All.node(W.at(1));
-    for (const auto &Report : Of.Core->control().fleet(this->All.now()))
+    for (const auto &Report : Of.Core->control().fleetReports(this->All.now()))
       for (const auto &Row : Report.counts)
         if (Row->stamp && Row->stamp->version() == Version)
           Holding += Row->nodes;
--- a/scenario/World.cpp
+++ b/scenario/World.cpp
@@ -544,7 +544,7 @@
       if (!Part.Target || !Held->findService(Part.Target->Name))
         this->note("dangling route " + Name + " at " + Of.Name);
   // In force whole: what the platform published under this stamp.
-  DocumentPtr Doc = Of.Core->control().spreader().accepted(ConfigTopic);
+  DocumentPtr Doc = Of.Core->control().spreader().acceptedDocument(ConfigTopic);
   if (!Doc)
     return;
   CompileResult Whole = compileConfig(*Doc, [&] {
--- a/src/control/ControlFixture.h
+++ b/src/control/ControlFixture.h
@@ -16,9 +16,9 @@
 namespace hickorylift {
 
 /// Simulates an unreachable platform: never publishes a document.
-class SilentSource : public DocumentSource {
+class UnresponsiveSource : public DocumentSource {
 public:
-  explicit SilentSource(ReadDuty *Wanted = nullptr) : Wanted(Wanted) {}
+  explicit UnresponsiveSource(ReadDuty *Wanted = nullptr) : Wanted(Wanted) {}
   void tick(TimePoint, ReadDuty Now) override {
     if (this->Wanted)
       *this->Wanted = Now;
@@ -29,7 +29,7 @@
   ReadDuty *Wanted;
 };
 
-inline DocumentPtr versionOf(uint64_t Number) {
+inline DocumentPtr makeVersion(uint64_t Number) {
   FaultList Faults;
   std::optional<EntryMap> Records = readRecordFile(
       R"([{"kind": "service", "name": "portal", "schema": 1}])", "f", Faults);
@@ -37,9 +37,9 @@
   return Document::make(Number, Number, std::move(*Records));
 }
 
-inline DocumentPtr listOf(const std::vector<std::string> &Names,
-                          uint64_t Revision,
-                          const std::string &DataCentre = "north") {
+inline DocumentPtr makeInstanceList(const std::vector<std::string> &Names,
+                                    uint64_t Revision,
+                                    const std::string &DataCentre = "north") {
   EntryMap Entries;
   for (const std::string &Name : Names) {
     Instance Listed;
@@ -53,16 +53,16 @@
   return Document::make(Revision, Revision, std::move(Entries));
 }
 
-inline DocumentPtr listOf(size_t Size,
-                          const std::string &DataCentre = "north") {
+inline DocumentPtr makeInstanceList(size_t Size,
+                                    const std::string &DataCentre = "north") {
   std::vector<std::string> Names;
   for (size_t I = 0; I < Size; ++I)
     Names.push_back("n-" + std::to_string(I));
-  return listOf(Names, /*Revision=*/1, DataCentre);
+  return makeInstanceList(Names, /*Revision=*/1, DataCentre);
 }
 
-inline Membership::Options fleetOptions(const std::string &Self,
-                                        size_t SpareReaders) {
+inline Membership::Options membershipOptions(const std::string &Self,
+                                             size_t SpareReaders) {
   Membership::Options Out;
   Out.Self = Self;
   Out.DataCentre = "north";
--- a/src/control/ControlLinks.cpp
+++ b/src/control/ControlLinks.cpp
@@ -37,30 +37,31 @@
 void ControlPlane::avoid(const std::string &Name, TimePoint Now) {
   if (!this->Opts.Spread.Guards.ClimbPastDead)
     return;
-  this->AvoidedAt[Name] = Now;
-  this->NeedRetarget |= this->Avoid.insert(Name).second;
+  this->AvoidedSince[Name] = Now;
+  this->NeedsRetarget |= this->Avoided.insert(Name).second;
 }
 
 void ControlPlane::stopAvoiding(const std::string &Name) {
-  this->AvoidedAt.erase(Name);
-  this->AvoidSilentUntil.erase(Name);
-  this->NeedRetarget |= this->Avoid.erase(Name) != 0;
+  this->AvoidedSince.erase(Name);
+  this->AvoidUnresponsiveUntil.erase(Name);
+  this->NeedsRetarget |= this->Avoided.erase(Name) != 0;
 }
 
 // Neighbours that are still dialled are avoided until they answer and, if
 // condemned for silence, AvoidSilentFor has passed. The others are not dialled
 // and are avoided for AvoidFor.
-void ControlPlane::forgetAvoided(TimePoint Now) {
+void ControlPlane::expireAvoided(TimePoint Now) {
   std::vector<std::string> Expired;
-  for (const auto &[Name, Since] : this->AvoidedAt) {
+  for (const auto &[Name, Since] : this->AvoidedSince) {
     auto To = this->Targets.find(Name);
     bool Dialled = To != this->Targets.end();
-    bool Linked =
-        Dialled && To->second.Link && this->Peers.at(*To->second.Link).Greeted;
-    auto Until = this->AvoidSilentUntil.find(Name);
+    bool Linked = Dialled && To->second.Link &&
+                  this->Peers.at(*To->second.Link).HelloReceived;
+    auto Until = this->AvoidUnresponsiveUntil.find(Name);
     bool MustAvoid =
-        Until != this->AvoidSilentUntil.end() && Now < Until->second;
-    if (Dialled ? Linked && !MustAvoid : Now - Since >= this->Opts.AvoidFor)
+        Until != this->AvoidUnresponsiveUntil.end() && Now < Until->second;
+    if (Dialled ? Linked && !MustAvoid
+                : Now - Since >= this->Opts.AvoidDuration)
       Expired.push_back(Name);
   }
   for (const std::string &Name : Expired)
@@ -78,18 +79,18 @@
     At->second.Kind = One.Kind;
     At->second.NextDial = Now;
   };
-  for (const Neighbour &One : this->Fleet.neighbours(this->Avoid))
+  for (const Neighbour &One : this->Fleet.neighbours(this->Avoided))
     Want(One);
   // Go on trying those whose place others have taken.
   for (const Neighbour &One : this->Fleet.neighbours())
-    if (this->Avoid.count(One.Who->Name))
+    if (this->Avoided.count(One.Who->Name))
       Want(One);
   // A node that knows no neighbour, or is the only one listed in its data
   // centre, keeps to its seeds: they may know more. So does one that has no
   // version yet: those above it may have none either.
   bool Alone = this->Fleet.size(this->Opts.DataCentre) < 2;
-  if ((Wanted.empty() && Alone) || !this->InForce)
-    this->wantSeeds(Wanted, Now);
+  if ((Wanted.empty() && Alone) || !this->ActiveConfig)
+    this->addSeedTargets(Wanted, Now);
   for (auto &[Name, Old] : this->Targets) {
     auto Kept = Wanted.find(Name);
     if (Kept != Wanted.end() && Kept->second.Address == Old.Address &&
@@ -100,22 +101,22 @@
   }
   this->Targets = std::move(Wanted);
   for (LinkId Link : Outdated)
-    this->dropOrKeepLink(Link, Now);
+    this->closeOrKeepLink(Link, Now);
 }
 
 bool ControlPlane::isAwaitingParentLink() const {
-  return this->Fleet.parent(this->Avoid) && !this->hasParentLink();
+  return this->Fleet.parent(this->Avoided) && !this->hasParentLink();
 }
 
 // Closes an outdated link, or keeps it open until the new parent is linked.
 // Closing it earlier would leave the node without versions, so it would read
 // the platform, and on a slow network link reading a large configuration delays
 // the new parent's greeting.
-void ControlPlane::dropOrKeepLink(LinkId Link, TimePoint Now) {
+void ControlPlane::closeOrKeepLink(LinkId Link, TimePoint Now) {
   const Peer &To = this->Peers.at(Link);
-  bool Usable = To.Greeted && To.Kind != Tie::Seed;
+  bool Usable = To.HelloReceived && To.Kind != Tie::Seed;
   if (!Usable || !this->isAwaitingParentLink())
-    return this->drop(Link, Now);
+    return this->closeLink(Link, Now);
   this->FormerLinks.insert(Link);
   if (To.Kind != Tie::Tree || this->FormerParentLink)
     return;
@@ -123,15 +124,15 @@
   this->FormerParentValidUntil = Now + this->Opts.FormerParentTimeout;
 }
 
-void ControlPlane::dropFormerLinks(TimePoint Now) {
+void ControlPlane::closeFormerLinks(TimePoint Now) {
   if (this->isAwaitingParentLink())
     return;
   for (LinkId Link : std::exchange(this->FormerLinks, {}))
-    this->drop(Link, Now);
+    this->closeLink(Link, Now);
 }
 
-void ControlPlane::wantSeeds(std::map<std::string, Target> &Wanted,
-                             TimePoint Now) const {
+void ControlPlane::addSeedTargets(std::map<std::string, Target> &Wanted,
+                                  TimePoint Now) const {
   std::map<uint64_t, std::string> Order;
   for (const auto &[Name, Address] : this->Opts.Seeds)
     Order[rendezvousScore(this->Opts.Self, Name)] = Name;
@@ -143,7 +144,7 @@
     At->second.Address = this->Opts.Seeds.at(Name);
     At->second.Kind = Tie::Seed;
     At->second.NextDial = Dial;
-    Dial += this->Opts.NextSeedAfter;
+    Dial += this->Opts.SeedDialInterval;
   }
 }
 
@@ -162,10 +163,10 @@
     return;
   Target &To = Found->second;
   To.Dialling = false;
-  Millis Longest = std::min(this->Opts.LongestRedial,
-                            this->Opts.FirstRedial *
+  Millis Longest = std::min(this->Opts.MaxRedialDelay,
+                            this->Opts.MinRedialDelay *
                                 (1 << std::min(To.Failures, MaxBackoffShift)));
-  if (++To.Failures >= this->Opts.AvoidAfter)
+  if (++To.Failures >= this->Opts.AvoidAfterFailures)
     this->avoid(Name, Now);
   To.NextDial =
       Now + Longest / 2 + Millis(this->Random() % (Longest.count() / 2 + 1));
@@ -178,45 +179,46 @@
     return this->Hook.Close(Link);
   Peer &New = this->Peers[Link];
   New.Name = Dialled;
-  New.Target = Dialled;
+  New.DialledName = Dialled;
   if (Dialled.empty())
     return;
   auto Found = this->Targets.find(Dialled);
   if (Found == this->Targets.end())
-    return this->drop(Link, Now);
+    return this->closeLink(Link, Now);
   Found->second.Dialling = false;
   Found->second.Link = Link;
   New.Kind = Found->second.Kind;
-  this->greet(Link, New);
+  this->sendHello(Link, New);
 }
 
-void ControlPlane::greet(LinkId Link, const Peer &To) {
+void ControlPlane::sendHello(LinkId Link, const Peer &To) {
   this->Hook.Send(Link, encodeFrame(helloFrame(this->Opts, To.Kind)));
 }
 
 void ControlPlane::onHello(LinkId Link, Peer &From, const wire::HelloT &Hello,
                            TimePoint Now) {
-  if (From.Greeted)
+  if (From.HelloReceived)
     return;
-  From.Greeted = true;
+  From.HelloReceived = true;
   From.Name = Hello.node;
-  if (From.Target.empty()) {
+  if (From.DialledName.empty()) {
     From.Kind = tieOf(Hello.tie);
-    this->greet(Link, From);
+    this->sendHello(Link, From);
     if (From.Kind == Tie::Seed)
-      this->introduce(Now);
-  } else if (auto Found = this->Targets.find(From.Target);
+      this->onSeedRequest(Now);
+  } else if (auto Found = this->Targets.find(From.DialledName);
              Found != this->Targets.end()) {
     Found->second.Failures = 0;
-    if (!this->AvoidSilentUntil.count(From.Target))
-      this->stopAvoiding(From.Target);
+    if (!this->AvoidUnresponsiveUntil.count(From.DialledName))
+      this->stopAvoiding(From.DialledName);
   }
   this->Spread.linkUp(Link, From.Name, From.Kind == Tie::Tree, Now);
-  if (std::optional<wire::SpreadFrameT> Known = this->Hold.all(Now))
+  if (std::optional<wire::SpreadFrameT> Known =
+          this->RequestQuarantine.all(Now))
     this->Hook.Send(Link, encodeFrame(*Known));
 }
 
-void ControlPlane::drop(LinkId Link, TimePoint Now) {
+void ControlPlane::closeLink(LinkId Link, TimePoint Now) {
   this->Hook.Close(Link);
   this->linkClosed(Link, Now);
 }
@@ -226,13 +228,13 @@
   auto Found = this->Peers.find(Link);
   if (Found == this->Peers.end())
     return;
-  std::string Target = Found->second.Target;
+  std::string Target = Found->second.DialledName;
   this->Peers.erase(Found);
   this->FormerLinks.erase(Link);
   if (this->FormerParentLink == Link)
     this->FormerParentLink.reset();
   this->Spread.linkDown(Link);
-  this->View.dropChild(Link);
+  this->View.removeChild(Link);
   auto To = this->Targets.find(Target);
   if (To != this->Targets.end() && To->second.Link == Link) {
     To->second.Link.reset();
@@ -240,11 +242,11 @@
   }
 }
 
-void ControlPlane::goodbye() {
+void ControlPlane::sendGoodbye() {
   wire::SpreadFrameT Frame;
   Frame.payload.Set(wire::GoodbyeT());
   for (const auto &[Link, To] : this->Peers)
-    if (To.Greeted)
+    if (To.HelloReceived)
       this->Hook.Send(Link, encodeFrame(Frame));
 }
 
--- a/src/control/ControlPlane.cpp
+++ b/src/control/ControlPlane.cpp
@@ -20,10 +20,10 @@
       Trail(this->Opts.AuditCapacity, this->Hook.Audit),
       Fleet(this->Opts.Members),
       View(this->Opts.DataCentre, this->Opts.Self, this->Opts.Build,
-           this->Opts.ReportFreshness),
+           this->Opts.MaxReportAge),
       Spread(this->Opts.Spread, this->spreadHooks(), this->Opts.Seed),
-      Hold(this->Opts.Hold, this->quarantineHooks()),
-      Read(MakeRead(this->readHooks())), Compile(this->Opts.Compile),
+      RequestQuarantine(this->Opts.QuarantineOpts, this->quarantineHooks()),
+      Source(MakeRead(this->sourceHooks())), ConfigCompiler(this->Opts.Compile),
       Random(this->Opts.Seed + 2) {}
 
 Spreader::Hooks ControlPlane::spreadHooks() {
@@ -31,21 +31,20 @@
   Out.Send = [this](LinkId To, const wire::SpreadFrameT &Frame) {
     this->Hook.Send(To, encodeFrame(Frame));
   };
-  Out.Accept = [this](const Spreader::Arrival &Arrived, TimePoint Now) {
-    return this->accept(Arrived, Now);
-  };
-  Out.Condemn = [this](LinkId Link, const Error &Why) {
+  Out.Accept = [this](const Spreader::ReceivedDocument &Arrived,
+                      TimePoint Now) { return this->accept(Arrived, Now); };
+  Out.CloseDeadLink = [this](LinkId Link, const Error &Why) {
     this->Trail.add(this->NowForHooks, "link-condemned", this->Peers[Link].Name,
                     "heartbeat", Why.Detail);
-    std::string Target = this->Peers[Link].Target;
-    this->drop(Link, this->NowForHooks);
+    std::string Target = this->Peers[Link].DialledName;
+    this->closeLink(Link, this->NowForHooks);
     if (!this->Targets.count(Target))
       return;
-    this->AvoidSilentUntil[Target] =
-        this->NowForHooks + this->Opts.AvoidSilentFor;
+    this->AvoidUnresponsiveUntil[Target] =
+        this->NowForHooks + this->Opts.AvoidUnresponsiveDuration;
     this->avoid(Target, this->NowForHooks);
   };
-  Out.Report = [this](LinkId Link) -> std::unique_ptr<wire::FleetReportT> {
+  Out.MakeReport = [this](LinkId Link) -> std::unique_ptr<wire::FleetReportT> {
     if (this->parentLink() != Link)
       return nullptr;
     return std::make_unique<wire::FleetReportT>(
@@ -54,12 +53,12 @@
   return Out;
 }
 
-SourceHooks ControlPlane::readHooks() {
+SourceHooks ControlPlane::sourceHooks() {
   SourceHooks Out;
   Out.Publish = [this](const std::string &Topic, const DocumentPtr &Doc,
                        TimePoint Now) {
     this->NowForHooks = Now;
-    DocumentPtr Held = this->Spread.held(Topic);
+    DocumentPtr Held = this->Spread.storedDocument(Topic);
     if (!this->Spread.publish(Topic, Doc, Now) && Held &&
         Held->stamp() != Doc->stamp())
       this->Trail.add(Now, "version-stale", Topic + " " + Doc->stamp().text(),
@@ -70,10 +69,12 @@
     this->Spread.confirm(Topic, Version, Revision, AskedAt);
   };
   Out.Held = [this](const std::string &Topic) {
-    return this->Spread.held(Topic);
+    return this->Spread.storedDocument(Topic);
+  };
+  Out.Complete = [this](uint64_t Revision) {
+    this->Spread.markComplete(Revision);
   };
-  Out.Complete = [this](uint64_t Revision) { this->Spread.complete(Revision); };
-  Out.CompleteAt = [this] { return this->Spread.completeAt(); };
+  Out.CompleteAt = [this] { return this->Spread.completeRevision(); };
   Out.Failed = [this](const Error &Why, TimePoint Now) {
     // A long outage is one event, not one for each attempt.
     if (Why.text() == this->LastReaderError)
@@ -88,8 +89,8 @@
       this->Trail.add(Now, "item-unreadable", Why.Detail, Why.Peer,
                       "names no upstream");
   };
-  Out.MetEra = [this](uint64_t Era) { this->Spread.meetEra(Era); };
-  Out.FirstEra = [this] { return this->Spread.firstEra(); };
+  Out.MetEra = [this](uint64_t Era) { this->Spread.recordEra(Era); };
+  Out.FirstEra = [this] { return this->Spread.earliestEra(); };
   // A source may have several readers, each of which reports the same restore.
   Out.Restored = [this](uint64_t From, uint64_t To, TimePoint Now) {
     if (this->PlatformEra && To <= *this->PlatformEra)
@@ -114,7 +115,7 @@
                     std::optional<LinkId> ButLink) {
     std::string Bytes = encodeFrame(Frame);
     for (const auto &[Link, To] : this->Peers)
-      if (To.Greeted && Link != ButLink)
+      if (To.HelloReceived && Link != ButLink)
         this->Hook.Send(Link, Bytes);
   };
   Out.Changed = [this](const Quarantine::Event &Of, TimePoint Now) {
@@ -134,7 +135,7 @@
     Prints += " " + Running[I].Of.text();
   this->Trail.add(Now, "upstream-crashed", this->Opts.Self, "gate",
                   "suspects=" + std::to_string(Running.size()) + Prints);
-  this->Hold.upstreamCrashed(Running, Now);
+  this->RequestQuarantine.upstreamCrashed(Running, Now);
 }
 
 void ControlPlane::tick(TimePoint Now) {
@@ -143,10 +144,10 @@
     this->StartedAt = Now;
   // Here and not when a list arrives: the arrival is handled within a link
   // that this may close.
-  this->forgetAvoided(Now);
-  if (std::exchange(this->NeedRetarget, false))
+  this->expireAvoided(Now);
+  if (std::exchange(this->NeedsRetarget, false))
     this->retarget(Now);
-  this->dropFormerLinks(Now);
+  this->closeFormerLinks(Now);
   this->auditParentChange(Now);
   if (this->LastTick && Now - *this->LastTick > this->Opts.PauseThreshold) {
     this->Trail.add(Now, "paused",
@@ -154,12 +155,12 @@
                         "ms",
                     "clock", "resynchronising");
     // What the platform answered before the pause is of unknown age.
-    this->Read->tick(Now, ReadDuty::None);
+    this->Source->tick(Now, ReadDuty::None);
   }
   this->LastTick = Now;
-  this->read(Now);
+  this->updateReadDuty(Now);
   this->Spread.tick(Now);
-  this->Hold.tick(Now);
+  this->RequestQuarantine.tick(Now);
   this->dialTargets(Now);
   if (Now >= this->NextExchange) {
     this->NextExchange = Now + ExchangeInterval;
@@ -167,57 +168,59 @@
   }
 }
 
-ReadSituation ControlPlane::situation(TimePoint Now) {
+ReadSituation ControlPlane::readSituation(TimePoint Now) {
   ReadSituation Out;
   Out.HasList = this->hasList();
   Out.HasSeeds = !this->Opts.Seeds.empty();
-  Out.TakenForSeed = this->TakenForSeed;
-  Out.HearsSeed = this->hasSeedLink();
-  Out.HeardFromAny = this->Spread.heardFromAny();
-  Out.IsReader = this->Fleet.isReader(this->Avoid);
+  Out.UsedAsSeed = this->UsedAsSeed;
+  Out.HasSeedLink = this->hasSeedLink();
+  Out.HasNeighbourState = this->Spread.hasNeighbourState();
+  Out.IsReader = this->Fleet.isReader(this->Avoided);
   // In a small fleet nodes do not rely on each other for what they can read.
-  Out.IsFirst =
-      this->Fleet.allRead() || this->Fleet.readerRank(this->Avoid) == 0;
+  Out.IsFirstReader =
+      this->Fleet.allRead() || this->Fleet.readerRank(this->Avoided) == 0;
   // Not before there is a list: until then nobody can have a parent.
-  Out.IsOrphan = Out.HasList && this->isOrphan(Now);
-  Out.DistrustsParent = this->distrustsParent(Now);
-  Out.ReadersFellBehind = Out.HasList && this->takesOver(Now);
-  Out.HasVersion = this->InForce != nullptr;
-  Out.Waited = toMillis(Now - *this->StartedAt);
-  Out.PeersFirst = this->Opts.PeersFirst;
+  Out.LostParent = Out.HasList && this->hasLostParent(Now);
+  Out.ParentMayBeSlow = this->parentMayBeSlow(Now);
+  Out.ReadersFellBehind = Out.HasList && this->shouldTakeOverReading(Now);
+  Out.HasVersion = this->ActiveConfig != nullptr;
+  Out.SinceStart = toMillis(Now - *this->StartedAt);
+  Out.PeerWaitTime = this->Opts.PeerWaitTime;
   return Out;
 }
 
-void ControlPlane::read(TimePoint Now) {
-  ReadPlan Plan = planReading(this->situation(Now));
-  if (Plan.What != this->LastDuty)
-    this->Trail.add(Now, "reading", dutyName(Plan.What), "platform", Plan.Why);
-  this->LastDuty = Plan.What;
-  this->Read->tick(Now, Plan.What);
+void ControlPlane::updateReadDuty(TimePoint Now) {
+  ReadPlan Plan = planReading(this->readSituation(Now));
+  if (Plan.Duty != this->LastDuty)
+    this->Trail.add(Now, "reading", dutyName(Plan.Duty), "platform",
+                    Plan.Reason);
+  this->LastDuty = Plan.Duty;
+  this->Source->tick(Now, Plan.Duty);
 }
 
 bool ControlPlane::hasList() const {
-  return this->Spread.held(listTopic(this->Opts.DataCentre)) != nullptr;
+  return this->Spread.storedDocument(listTopic(this->Opts.DataCentre)) !=
+         nullptr;
 }
 
 // A node keeps to its seeds while the list names nobody: upstreams are listed a
 // second or more after their nodes start. The seeds read for it.
 bool ControlPlane::hasSeedLink() const {
-  return !this->TakenForSeed &&
+  return !this->UsedAsSeed &&
          std::any_of(
              this->Peers.begin(), this->Peers.end(), [](const auto &One) {
-               return One.second.Greeted && One.second.Kind == Tie::Seed;
+               return One.second.HelloReceived && One.second.Kind == Tie::Seed;
              });
 }
 
 bool ControlPlane::hasParentLink() const {
   std::optional<LinkId> Up = this->parentLink();
-  return Up && this->Peers.at(*Up).Greeted;
+  return Up && this->Peers.at(*Up).HelloReceived;
 }
 
 // Records whether the tree assigned another parent or the link state changed.
 void ControlPlane::auditParentChange(TimePoint Now) {
-  const Instance *Parent = this->Fleet.parent(this->Avoid);
+  const Instance *Parent = this->Fleet.parent(this->Avoided);
   std::string Name = Parent ? Parent->Name : "";
   bool Linked = this->hasParentLink();
   bool Reassigned = Name != this->AuditedParent;
@@ -231,50 +234,52 @@
 
 // Whoever stands at the top of what is left of the tree reads, and those below
 // it have what it reads.
-bool ControlPlane::isOrphan(TimePoint Now) {
-  if (this->Opts.OrphanReadsAfter.count() == 0)
+bool ControlPlane::hasLostParent(TimePoint Now) {
+  if (this->Opts.LostParentReadDelay.count() == 0)
     return false;
   bool FormerParentValid =
       this->FormerParentLink && Now < this->FormerParentValidUntil;
   bool Linked =
       this->hasParentLink() || this->hasSeedLink() || FormerParentValid;
-  if (!this->ParentSeen || Linked)
-    this->ParentSeen = Now;
-  bool Orphan = Now - *this->ParentSeen >= this->Opts.OrphanReadsAfter;
+  if (!this->ParentLastLinkedAt || Linked)
+    this->ParentLastLinkedAt = Now;
+  bool Orphan =
+      Now - *this->ParentLastLinkedAt >= this->Opts.LostParentReadDelay;
   if (Orphan)
-    this->ReadsOnUntil = Now + this->Opts.OrphanReadsOn;
+    this->KeepReadingUntil = Now + this->Opts.RegainedParentReadTime;
   return Orphan;
 }
 
-bool ControlPlane::distrustsParent(TimePoint Now) const {
-  return this->ReadsOnUntil && Now < *this->ReadsOnUntil;
+bool ControlPlane::parentMayBeSlow(TimePoint Now) const {
+  return this->KeepReadingUntil && Now < *this->KeepReadingUntil;
 }
 
 // The platform's outage makes everybody's documents old as well; the bound on
 // the rank keeps the fleet from asking all together.
-bool ControlPlane::takesOver(TimePoint Now) const {
+bool ControlPlane::shouldTakeOverReading(TimePoint Now) const {
   if (!this->Opts.Spread.Guards.ClimbPastDead)
     return false;
-  size_t Rank = this->Fleet.readerRank(this->Avoid);
+  size_t Rank = this->Fleet.readerRank(this->Avoided);
   // A version that has come just now is not confirmed yet, and is not old.
   std::optional<Millis> Age = this->Spread.age(ConfigTopic, Now);
-  TimePoint Since = this->InForceSince.value_or(*this->StartedAt);
+  TimePoint Since = this->ActiveConfigSince.value_or(*this->StartedAt);
   Millis Held = Age ? *Age : toMillis(Now - Since);
   Millis Bound =
       2 * this->Opts.Read.WatchWait +
       this->Opts.TakeoverHeartbeats * this->Opts.Spread.HeartbeatInterval +
-      static_cast<int64_t>(Rank) * this->Opts.TakeoverStep;
-  return Rank < this->Opts.TakeoverMost && Held > Bound;
+      static_cast<int64_t>(Rank) * this->Opts.TakeoverDelayPerRank;
+  return Rank < this->Opts.MaxTakeoverNodes && Held > Bound;
 }
 
 // Whoever turned to this node for a list waits for it.
-void ControlPlane::introduce(TimePoint Now) {
-  this->TakenForSeed = true;
+void ControlPlane::onSeedRequest(TimePoint Now) {
+  this->UsedAsSeed = true;
   if (this->StartedAt && !this->hasList())
-    this->read(Now);
+    this->updateReadDuty(Now);
 }
 
-void ControlPlane::frame(LinkId Link, std::string_view Bytes, TimePoint Now) {
+void ControlPlane::receiveFrame(LinkId Link, std::string_view Bytes,
+                                TimePoint Now) {
   this->NowForHooks = Now;
   auto Found = this->Peers.find(Link);
   if (Found == this->Peers.end())
@@ -284,18 +289,18 @@
   if (!Frame) {
     this->Trail.add(Now, "link-rubbish", Found->second.Name, "peer",
                     Frame.error().Detail);
-    return this->drop(Link, Now);
+    return this->closeLink(Link, Now);
   }
   if (const auto *Hello = Frame->payload.AsHello())
     return this->onHello(Link, Found->second, *Hello, Now);
-  if (!Found->second.Greeted)
+  if (!Found->second.HelloReceived)
     return;
   if (Frame->payload.AsGoodbye())
-    return this->drop(Link, Now);
+    return this->closeLink(Link, Now);
   if (const auto *Said = Frame->payload.AsFleetExchange())
-    return this->View.exchange(*Said, Now);
+    return this->View.recordExchange(*Said, Now);
   if (const auto *Said = Frame->payload.AsQuarantine())
-    return this->Hold.receive(Link, *Said, Now);
+    return this->RequestQuarantine.receive(Link, *Said, Now);
   if (const auto *Beat = Frame->payload.AsHeartbeat(); Beat && Beat->report)
     this->onReport(Link, *Beat->report, Now);
   this->Spread.receive(Link, *Frame, Now);
@@ -306,22 +311,22 @@
   if (Report.data_centre != this->Opts.DataCentre)
     return;
   wire::FleetReportT Before = this->View.report(Now);
-  this->View.childReport(Link, Report, Now);
+  this->View.recordChildReport(Link, Report, Now);
   if (!sameReport(Before, this->View.report(Now)))
-    this->reportSoon(Now);
+    this->scheduleReport(Now);
 }
 
 std::optional<LinkId> ControlPlane::parentLink() const {
-  const Instance *Parent = this->Fleet.parent(this->Avoid);
+  const Instance *Parent = this->Fleet.parent(this->Avoided);
   if (!Parent)
     return std::nullopt;
   auto Found = this->Targets.find(Parent->Name);
   return Found == this->Targets.end() ? std::nullopt : Found->second.Link;
 }
 
-void ControlPlane::reportSoon(TimePoint Now) {
+void ControlPlane::scheduleReport(TimePoint Now) {
   if (std::optional<LinkId> Up = this->parentLink())
-    this->Spread.hastenHeartbeat(*Up, Now + this->Opts.ReportBatch);
+    this->Spread.sendHeartbeatBy(*Up, Now + this->Opts.ReportBatchDelay);
 }
 
 void ControlPlane::exchangeReports(TimePoint Now) {
@@ -329,7 +334,7 @@
   if (!Root || Root->Name != this->Opts.Self)
     return;
   for (const auto &[Link, To] : this->Peers) {
-    if (!To.Greeted || To.Kind != Tie::Bridge)
+    if (!To.HelloReceived || To.Kind != Tie::Bridge)
       continue;
     wire::FleetExchangeT Said;
     Said.reports.push_back(
@@ -340,7 +345,8 @@
   }
 }
 
-bool ControlPlane::accept(const Spreader::Arrival &Arrived, TimePoint Now) {
+bool ControlPlane::accept(const Spreader::ReceivedDocument &Arrived,
+                          TimePoint Now) {
   if (Arrived.Topic == ConfigTopic)
     return this->acceptConfig(Arrived, Now);
   if (Arrived.Topic == EvacuationTopic)
@@ -350,54 +356,56 @@
   return true;
 }
 
-void ControlPlane::acceptEvacuations(const Spreader::Arrival &Arrived,
+void ControlPlane::acceptEvacuations(const Spreader::ReceivedDocument &Arrived,
                                      TimePoint Now) {
   std::set<std::string> Before = this->Fleet.evacuated();
-  std::set<std::string> After = evacuatedIn(*Arrived.Held);
+  std::set<std::string> After = evacuatedIn(*Arrived.Doc);
   bool Follows = this->Opts.Spread.Guards.FollowEvacuations;
   if (!Follows || !this->Fleet.evacuate(After))
     return;
   for (const std::string &One : After)
     if (!Before.count(One))
-      this->Trail.add(Now, "evacuation", One, Arrived.From, "begun");
+      this->Trail.add(Now, "evacuation", One, Arrived.Source, "begun");
   for (const std::string &One : Before)
     if (!After.count(One))
-      this->Trail.add(Now, "evacuation", One, Arrived.From, "taken back");
+      this->Trail.add(Now, "evacuation", One, Arrived.Source, "taken back");
   this->Hook.MembersChanged(Now);
 }
 
-bool ControlPlane::acceptConfig(const Spreader::Arrival &Arrived,
+bool ControlPlane::acceptConfig(const Spreader::ReceivedDocument &Arrived,
                                 TimePoint Now) {
-  CompileResult Made = this->Compile.compile(*Arrived.Held);
-  std::string Stamp = Arrived.Held->stamp().text();
+  CompileResult Made = this->ConfigCompiler.compile(*Arrived.Doc);
+  std::string Stamp = Arrived.Doc->stamp().text();
   if (!Made.Compiled) {
-    this->View.setRefusal(Arrived.Held->stamp(), Made.Faults.front().text());
+    this->View.setRefusal(Arrived.Doc->stamp(), Made.Faults.front().text());
     for (const Fault &One : Made.Faults)
-      this->Trail.add(Now, "version-refused", Stamp, Arrived.From, One.text());
-    this->reportSoon(Now);
+      this->Trail.add(Now, "version-refused", Stamp, Arrived.Source,
+                      One.text());
+    this->scheduleReport(Now);
     return false;
   }
   // Seeds are left once there is a version.
-  this->NeedRetarget |= !this->InForce;
-  this->InForce = Made.Compiled;
-  this->InForceFrom = Arrived.From;
-  this->InForceSince = Now;
-  this->View.setInForce(Arrived.Held->stamp());
-  this->Trail.add(Now, "version-in-force", Stamp, Arrived.From, "taken");
-  this->Hook.ConfigChanged(this->InForce, Now);
-  this->reportSoon(Now);
+  this->NeedsRetarget |= !this->ActiveConfig;
+  this->ActiveConfig = Made.Compiled;
+  this->ActiveConfigSource = Arrived.Source;
+  this->ActiveConfigSince = Now;
+  this->View.setActiveVersion(Arrived.Doc->stamp());
+  this->Trail.add(Now, "version-in-force", Stamp, Arrived.Source, "taken");
+  this->Hook.ConfigChanged(this->ActiveConfig, Now);
+  this->scheduleReport(Now);
   return true;
 }
 
-void ControlPlane::acceptList(const Spreader::Arrival &Arrived, TimePoint Now) {
+void ControlPlane::acceptList(const Spreader::ReceivedDocument &Arrived,
+                              TimePoint Now) {
   uint64_t Before = this->Fleet.generation();
-  this->Fleet.update(listTopicDataCentre(Arrived.Topic), *Arrived.Held);
+  this->Fleet.update(listTopicDataCentre(Arrived.Topic), *Arrived.Doc);
   if (this->Fleet.generation() == Before)
     return;
   this->Trail.add(Now, "list",
-                  Arrived.Topic + " " + Arrived.Held->stamp().text(),
-                  Arrived.From, "taken");
-  this->NeedRetarget = true;
+                  Arrived.Topic + " " + Arrived.Doc->stamp().text(),
+                  Arrived.Source, "taken");
+  this->NeedsRetarget = true;
   this->Hook.MembersChanged(Now);
 }
 
@@ -413,10 +421,10 @@
   return Oldest;
 }
 
-std::vector<std::string> ControlPlane::peers() const {
+std::vector<std::string> ControlPlane::peerNames() const {
   std::vector<std::string> Out;
   for (const auto &[Link, One] : this->Peers)
-    if (One.Greeted)
+    if (One.HelloReceived)
       Out.push_back(One.Name);
   return Out;
 }
--- a/src/control/ControlPlane.h
+++ b/src/control/ControlPlane.h
@@ -47,24 +47,24 @@
     /// How long a starting node waits for peers before it asks the platform.
     /// One that others take for their seed does not wait: if it knows no more
     /// than they do, somebody has to ask.
-    Millis PeersFirst{1000};
+    Millis PeerWaitTime{1000};
     /// A node tries its seeds one after the other, in an order of its own, so
     /// long after the last if it has no list by then: a herd that starts
     /// together draws on all of them alike.
-    Millis NextSeedAfter{150};
+    Millis SeedDialInterval{150};
     /// Between two attempts to reach a neighbour; doubles, with jitter.
-    Millis FirstRedial{100};
-    Millis LongestRedial{5000};
+    Millis MinRedialDelay{100};
+    Millis MaxRedialDelay{5000};
     /// Dials in a row that must fail before a neighbour is passed over, and for
     /// how long if nobody tries it any more.
-    unsigned AvoidAfter = 2;
-    Millis AvoidFor{30000};
+    unsigned AvoidAfterFailures = 2;
+    Millis AvoidDuration{30000};
     /// Minimum time for which a neighbour is avoided after its link was
     /// condemned for silence. Starts without waiting for AvoidAfter failed
     /// dials, as each dial to an unreachable machine takes the full dial
     /// timeout. Does not end at the next greeting, as a slow machine accepts
     /// new links but forwards versions late.
-    Millis AvoidSilentFor{4000};
+    Millis AvoidUnresponsiveDuration{4000};
     /// A node that is not a reader becomes one when what it holds was not
     /// confirmed for two watches and this many heartbeats (in normal running
     /// the age is one watch, and a heartbeat for each level of the tree), and
@@ -72,18 +72,18 @@
     /// readers may all be gone in a way that nobody next in line sees. No more
     /// than TakeoverMost nodes do so.
     int64_t TakeoverHeartbeats = 10;
-    Millis TakeoverStep{5000};
-    size_t TakeoverMost = 8;
+    Millis TakeoverDelayPerRank{5000};
+    size_t MaxTakeoverNodes = 8;
     /// A node that has had no link to its parent for this long reads by itself,
     /// until it has one again. Zero for never. What its neighbours know may
     /// never reach it, while it can reach the platform as well as they can.
-    Millis OrphanReadsAfter{0};
+    Millis LostParentReadDelay{0};
     /// And so long after it has a link to a parent again. A parent whose links
     /// were condemned for silence may be a slow machine, of which each new link
     /// works: it hands a version on seconds after it has taken it, and its
     /// children would serve by the old one. A second or two longer than a
     /// version may take.
-    Millis OrphanReadsOn{4000};
+    Millis RegainedParentReadTime{4000};
     /// How long the link to the former parent counts as a parent link after the
     /// tree has assigned another parent, if that one is not linked yet.
     /// OrphanReadsAfter starts when this ends. Less than the time within which
@@ -93,9 +93,9 @@
     /// comes back later.
     size_t MaxLinks = 256;
     /// Reports older than this count as not heard.
-    Millis ReportFreshness{15000};
+    Millis MaxReportAge{15000};
     /// A changed report waits this long for others before it goes up.
-    Millis ReportBatch{100};
+    Millis ReportBatchDelay{100};
     /// A jump of the clock between two ticks that counts as a pause.
     Millis PauseThreshold{1500};
     /// Options of the slices that this one joins.
@@ -106,7 +106,7 @@
     CompileOptions Compile;
     /// Of the requests that crash upstreams; Self and Incarnation are filled
     /// in.
-    Quarantine::Options Hold;
+    Quarantine::Options QuarantineOpts;
     /// Events kept in the audit trail.
     size_t AuditCapacity = 1000;
   };
@@ -129,21 +129,23 @@
   /// Dialled is the peer's name where this node dialled; else empty.
   void linkOpened(LinkId Link, const std::string &Dialled, TimePoint Now);
   void dialFailed(const std::string &Peer, TimePoint Now);
-  void frame(LinkId Link, std::string_view Bytes, TimePoint Now);
+  void receiveFrame(LinkId Link, std::string_view Bytes, TimePoint Now);
   void linkClosed(LinkId Link, TimePoint Now);
   /// Tells the peers that this node stops as planned.
-  void goodbye();
+  void sendGoodbye();
 
-  ConfigPtr config() const { return this->InForce; }
+  ConfigPtr config() const { return this->ActiveConfig; }
   /// Where the version in force came from, and when.
-  const std::string &configSource() const { return this->InForceFrom; }
-  std::optional<TimePoint> configSince() const { return this->InForceSince; }
+  const std::string &configSource() const { return this->ActiveConfigSource; }
+  std::optional<TimePoint> configSince() const {
+    return this->ActiveConfigSince;
+  }
   const Membership &members() const { return this->Fleet; }
   /// Age of the oldest list among all data centres; nullopt while any of them
   /// is unknown or was never confirmed.
   std::optional<Millis> oldestListAge(TimePoint Now) const;
-  std::vector<wire::FleetReportT> fleet(TimePoint Now) const {
-    return this->View.fleet(Now);
+  std::vector<wire::FleetReportT> fleetReports(TimePoint Now) const {
+    return this->View.fleetReports(Now);
   }
   const AuditTrail &audit() const { return this->Trail; }
   AuditTrail &audit() { return this->Trail; }
@@ -151,20 +153,20 @@
   void upstreamCrashed(const std::vector<Quarantine::Ran> &Running,
                        TimePoint Now);
   /// Requests that crash upstreams, as all nodes know them.
-  Quarantine &quarantine() { return this->Hold; }
+  Quarantine &quarantine() { return this->RequestQuarantine; }
   /// Items of the platform that could not be used, so far.
   uint64_t unreadableItems() const { return this->UnreadableItems; }
   /// Number of restores of the platform detected by this node.
   uint64_t platformRestores() const { return this->PlatformRestores; }
   const Spreader &spreader() const { return this->Spread; }
-  const DocumentSource &reader() const { return *this->Read; }
+  const DocumentSource &documentSource() const { return *this->Source; }
   /// Names of the peers with a control link.
-  std::vector<std::string> peers() const;
+  std::vector<std::string> peerNames() const;
   /// The root of this data centre's tree, as this node sees it.
   const Instance *root() const {
-    return this->Fleet.root(this->Opts.DataCentre, this->Avoid);
+    return this->Fleet.root(this->Opts.DataCentre, this->Avoided);
   }
-  bool isReader() const { return this->Fleet.isReader(this->Avoid); }
+  bool isReader() const { return this->Fleet.isReader(this->Avoided); }
 
 private:
   struct Target {
@@ -182,44 +184,46 @@
     std::string Name;
     // The target that was dialled; empty where the peer dialled us. A seed may
     // be known by its address alone, and then has another name than its target.
-    std::string Target;
-    bool Greeted = false;
+    std::string DialledName;
+    bool HelloReceived = false;
     Tie Kind = Tie::Tree;
   };
 
   void retarget(TimePoint Now);
-  void wantSeeds(std::map<std::string, Target> &Wanted, TimePoint Now) const;
+  void addSeedTargets(std::map<std::string, Target> &Wanted,
+                      TimePoint Now) const;
   void avoid(const std::string &Name, TimePoint Now);
   void stopAvoiding(const std::string &Name);
-  void forgetAvoided(TimePoint Now);
-  bool takesOver(TimePoint Now) const;
+  void expireAvoided(TimePoint Now);
+  bool shouldTakeOverReading(TimePoint Now) const;
   bool hasParentLink() const;
   void auditParentChange(TimePoint Now);
   bool isAwaitingParentLink() const;
-  void dropOrKeepLink(LinkId Link, TimePoint Now);
-  void dropFormerLinks(TimePoint Now);
-  bool isOrphan(TimePoint Now);
-  bool distrustsParent(TimePoint Now) const;
+  void closeOrKeepLink(LinkId Link, TimePoint Now);
+  void closeFormerLinks(TimePoint Now);
+  bool hasLostParent(TimePoint Now);
+  bool parentMayBeSlow(TimePoint Now) const;
   void dialTargets(TimePoint Now);
-  void greet(LinkId Link, const Peer &To);
+  void sendHello(LinkId Link, const Peer &To);
   void onHello(LinkId Link, Peer &From, const wire::HelloT &Hello,
                TimePoint Now);
-  void introduce(TimePoint Now);
+  void onSeedRequest(TimePoint Now);
   void onReport(LinkId Link, const wire::FleetReportT &Report, TimePoint Now);
-  void drop(LinkId Link, TimePoint Now);
-  bool accept(const Spreader::Arrival &Arrived, TimePoint Now);
-  bool acceptConfig(const Spreader::Arrival &Arrived, TimePoint Now);
-  void acceptList(const Spreader::Arrival &Arrived, TimePoint Now);
-  void acceptEvacuations(const Spreader::Arrival &Arrived, TimePoint Now);
+  void closeLink(LinkId Link, TimePoint Now);
+  bool accept(const Spreader::ReceivedDocument &Arrived, TimePoint Now);
+  bool acceptConfig(const Spreader::ReceivedDocument &Arrived, TimePoint Now);
+  void acceptList(const Spreader::ReceivedDocument &Arrived, TimePoint Now);
+  void acceptEvacuations(const Spreader::ReceivedDocument &Arrived,
+                         TimePoint Now);
   bool hasList() const;
   bool hasSeedLink() const;
-  ReadSituation situation(TimePoint Now);
-  void read(TimePoint Now);
+  ReadSituation readSituation(TimePoint Now);
+  void updateReadDuty(TimePoint Now);
   void exchangeReports(TimePoint Now);
-  void reportSoon(TimePoint Now);
+  void scheduleReport(TimePoint Now);
   std::optional<LinkId> parentLink() const;
   Spreader::Hooks spreadHooks();
-  SourceHooks readHooks();
+  SourceHooks sourceHooks();
   Quarantine::Hooks quarantineHooks();
 
   Options Opts;
@@ -234,37 +238,37 @@
   Membership Fleet;
   FleetView View;
   Spreader Spread;
-  Quarantine Hold;
-  std::unique_ptr<DocumentSource> Read;
-  Compiler Compile;
+  Quarantine RequestQuarantine;
+  std::unique_ptr<DocumentSource> Source;
+  Compiler ConfigCompiler;
   std::mt19937_64 Random;
   std::map<std::string, Target> Targets;
-  AvoidSet Avoid;
-  std::map<std::string, TimePoint> AvoidedAt;
+  AvoidSet Avoided;
+  std::map<std::string, TimePoint> AvoidedSince;
   // Earliest time at which a neighbour condemned for silence may be used again,
   // even if it answers before.
-  std::map<std::string, TimePoint> AvoidSilentUntil;
+  std::map<std::string, TimePoint> AvoidUnresponsiveUntil;
   std::map<LinkId, Peer> Peers;
-  ConfigPtr InForce;
-  std::string InForceFrom;
-  std::optional<TimePoint> InForceSince;
+  ConfigPtr ActiveConfig;
+  std::string ActiveConfigSource;
+  std::optional<TimePoint> ActiveConfigSince;
   std::optional<TimePoint> StartedAt;
   std::optional<TimePoint> LastTick;
   // Parent and link state in the last "parent" audit event.
   std::string AuditedParent;
   bool AuditedParentLinked = false;
   // When the node was last seen to have a link to its parent.
-  std::optional<TimePoint> ParentSeen;
+  std::optional<TimePoint> ParentLastLinkedAt;
   // Until when it reads by itself though it has one again.
-  std::optional<TimePoint> ReadsOnUntil;
+  std::optional<TimePoint> KeepReadingUntil;
   // Links to former neighbours, kept open until the new parent is linked.
   std::set<LinkId> FormerLinks;
   // The link to the former parent, and until when it counts as a parent link.
   std::optional<LinkId> FormerParentLink;
   TimePoint FormerParentValidUntil;
-  bool NeedRetarget = true;
+  bool NeedsRetarget = true;
   // Somebody who has no list has turned to this node.
-  bool TakenForSeed = false;
+  bool UsedAsSeed = false;
   ReadDuty LastDuty = ReadDuty::None;
   TimePoint NextExchange;
   TimePoint NowForHooks;
--- a/src/control/ControlPlaneTest.cpp
+++ b/src/control/ControlPlaneTest.cpp
@@ -32,7 +32,7 @@
     Opts.DataCentre = Opts.Members.DataCentre = "north";
     Opts.DataCentres = {"north", "south"};
     Opts.Seeds = std::move(Seeds);
-    Opts.PeersFirst = this->PeersFirst;
+    Opts.PeerWaitTime = this->PeersFirst;
     ControlPlane::Hooks Hooks;
     Hooks.Dial = [this, Which](const std::string &Peer,
                                const std::string &Address) {
@@ -48,7 +48,7 @@
     MakeSource Make = [this, Which](const SourceHooks &Given) {
       if (Which == 0)
         this->Publish = Given.Publish;
-      return std::make_unique<SilentSource>(&this->Wanted[Which]);
+      return std::make_unique<UnresponsiveSource>(&this->Wanted[Which]);
     };
     return std::make_unique<ControlPlane>(Opts, Make, Hooks);
   }
@@ -77,7 +77,7 @@
       auto [To, Bytes] = std::move(this->Frames.front());
       this->Frames.pop_front();
       ControlPlane &At = To == 0 ? *this->Seed : *this->Node;
-      At.frame(this->Links, Bytes, this->Now);
+      At.receiveFrame(this->Links, Bytes, this->Now);
     }
   }
 
@@ -111,8 +111,8 @@
   ChildNode() {
     for (size_t I = 0; I < FleetSize && this->Self.empty(); ++I) {
       Membership Seen(
-          fleetOptions("n-" + std::to_string(I), /*SpareReaders=*/1));
-      Seen.update("north", *listOf(FleetSize));
+          membershipOptions("n-" + std::to_string(I), /*SpareReaders=*/1));
+      Seen.update("north", *makeInstanceList(FleetSize));
       if (Seen.isReader() || !Seen.parent())
         continue;
       this->Self = "n-" + std::to_string(I);
@@ -121,8 +121,8 @@
     BOOST_REQUIRE(!this->Self.empty());
     this->Node = this->make(this->Self, &this->Wanted);
     this->Above = this->make(this->Parent, nullptr);
-    this->Publish(listTopic("north"), listOf(FleetSize), this->Now);
-    this->Publish(ConfigTopic, versionOf(1), this->Now);
+    this->Publish(listTopic("north"), makeInstanceList(FleetSize), this->Now);
+    this->Publish(ConfigTopic, makeVersion(1), this->Now);
   }
 
   std::unique_ptr<ControlPlane> make(const std::string &Name,
@@ -131,9 +131,9 @@
     Opts.Self = Name;
     Opts.DataCentre = "north";
     Opts.DataCentres = {"north"};
-    Opts.Members = fleetOptions(Name, /*SpareReaders=*/1);
-    Opts.PeersFirst = Millis(0);
-    Opts.OrphanReadsAfter = Millis(300);
+    Opts.Members = membershipOptions(Name, /*SpareReaders=*/1);
+    Opts.PeerWaitTime = Millis(0);
+    Opts.LostParentReadDelay = Millis(300);
     ControlPlane::Hooks Hooks;
     Hooks.Dial = [](const std::string &, const std::string &) {};
     Hooks.Send = [this, Wanted](LinkId, std::string Bytes) {
@@ -145,7 +145,7 @@
         [this, Wanted](const SourceHooks &Given) {
           if (Wanted)
             this->Publish = Given.Publish;
-          return std::make_unique<SilentSource>(Wanted);
+          return std::make_unique<UnresponsiveSource>(Wanted);
         },
         Hooks);
   }
@@ -157,7 +157,8 @@
       while (!this->Frames.empty()) {
         auto [From, Bytes] = std::move(this->Frames.front());
         this->Frames.pop_front();
-        (From == 0 ? *this->Above : *this->Node).frame(Link, Bytes, this->Now);
+        (From == 0 ? *this->Above : *this->Node)
+            .receiveFrame(Link, Bytes, this->Now);
       }
     }
   }
@@ -216,7 +217,7 @@
     this->run(Millis(100));
   }
   BOOST_TEST((this->Wanted == ReadDuty::Watch));
-  this->Publish(ConfigTopic, versionOf(2), this->Now);
+  this->Publish(ConfigTopic, makeVersion(2), this->Now);
   this->run(Millis(200));
   BOOST_TEST((this->Wanted == ReadDuty::None));
 }
@@ -229,12 +230,12 @@
                      data::make({SeedName, SeedAddress}), Key) {
   SeededNode Pair(Key);
   Pair.run(Millis(500));
-  Pair.Publish(ConfigTopic, versionOf(1), Pair.Now);
+  Pair.Publish(ConfigTopic, makeVersion(1), Pair.Now);
   Pair.run(Millis(500));
   BOOST_TEST(Pair.inForce() == 1u);
   Pair.cut();
   Pair.run(Millis(2000));
-  Pair.Publish(ConfigTopic, versionOf(2), Pair.Now);
+  Pair.Publish(ConfigTopic, makeVersion(2), Pair.Now);
   Pair.run(Millis(500));
   BOOST_TEST(Pair.inForce() == 2u);
 }
@@ -248,7 +249,7 @@
   Pair.run(Millis(300));
   BOOST_TEST((Pair.Wanted[0] == ReadDuty::ListForOthers));
   BOOST_TEST((Pair.Wanted[1] == ReadDuty::None));
-  Pair.Publish(listTopic("north"), listOf(1), Pair.Now);
+  Pair.Publish(listTopic("north"), makeInstanceList(1), Pair.Now);
   Pair.run(Millis(100));
   BOOST_TEST(Pair.Node->members().size() == 1u);
 }
@@ -262,13 +263,13 @@
   SeededNode Pair(SeedAddress, Millis(800));
   Pair.run(Millis(200));
   Pair.Publish(listTopic("north"), Document::make(1, 1, {}), Pair.Now);
-  Pair.Publish(listTopic("south"), listOf(3, "south"), Pair.Now);
-  Pair.Publish(ConfigTopic, versionOf(1), Pair.Now);
+  Pair.Publish(listTopic("south"), makeInstanceList(3, "south"), Pair.Now);
+  Pair.Publish(ConfigTopic, makeVersion(1), Pair.Now);
   Pair.run(Millis(3000));
   BOOST_TEST(Pair.inForce() == 1u);
   BOOST_TEST(Pair.Node->members().size() == 3u);
   BOOST_TEST((Pair.Wanted[1] == ReadDuty::None));
-  BOOST_TEST(Pair.Node->peers().size() == 1u);
+  BOOST_TEST(Pair.Node->peerNames().size() == 1u);
 }
 
 // The seed answers, but cannot reach the platform: those who start must not
@@ -289,7 +290,7 @@
       ControlPlane::Options(),
       [&](const SourceHooks &Given) {
         Source = Given;
-        return std::make_unique<SilentSource>(&Wanted);
+        return std::make_unique<UnresponsiveSource>(&Wanted);
       },
       ControlPlane::Hooks());
   TimePoint Now(std::chrono::hours(1));
--- a/src/control/ParentChangeTest.cpp
+++ b/src/control/ParentChangeTest.cpp
@@ -13,8 +13,8 @@
 /// Returns the parent of Self in the tree of Names, or "" for the root.
 std::string parentOf(const std::string &Self,
                      const std::vector<std::string> &Names) {
-  Membership Seen(fleetOptions(Self, /*SpareReaders=*/0));
-  Seen.update("north", *listOf(Names, 1));
+  Membership Seen(membershipOptions(Self, /*SpareReaders=*/0));
+  Seen.update("north", *makeInstanceList(Names, 1));
   return Seen.parent() ? Seen.parent()->Name : "";
 }
 
@@ -41,8 +41,8 @@
     this->Nodes[1] = this->make(1, this->OldParent);
     this->Nodes[2] = this->make(2, this->NewParent);
     this->Nodes[3] = this->make(3, this->Grandparent);
-    this->publish(0, listTopic("north"), listOf(this->Names, 1));
-    this->publish(1, ConfigTopic, versionOf(1));
+    this->publish(0, listTopic("north"), makeInstanceList(this->Names, 1));
+    this->publish(1, ConfigTopic, makeVersion(1));
     this->run(Millis(100));
     this->link(OldLink, 1, this->OldParent);
     this->run(Millis(1000));
@@ -69,11 +69,11 @@
     Opts.Self = Name;
     Opts.DataCentre = "north";
     Opts.DataCentres = {"north"};
-    Opts.Members = fleetOptions(Name, /*SpareReaders=*/0);
-    Opts.PeersFirst = Millis(0);
-    Opts.OrphanReadsAfter = Millis(300);
+    Opts.Members = membershipOptions(Name, /*SpareReaders=*/0);
+    Opts.PeerWaitTime = Millis(0);
+    Opts.LostParentReadDelay = Millis(300);
     Opts.Spread.HeartbeatInterval = Millis(400);
-    Opts.Spread.SilenceLimit = Millis(1200);
+    Opts.Spread.LivenessTimeout = Millis(1200);
     ControlPlane::Hooks Hooks;
     Hooks.Dial = [this, Which](const std::string &Peer, const std::string &) {
       if (Which == 0)
@@ -91,7 +91,7 @@
         Opts,
         [this, Which](const SourceHooks &Given) {
           this->Publish[Which] = Given.Publish;
-          return std::make_unique<SilentSource>(&this->Wanted[Which]);
+          return std::make_unique<UnresponsiveSource>(&this->Wanted[Which]);
         },
         Hooks);
   }
@@ -108,7 +108,7 @@
   void listNewParent() {
     std::vector<std::string> Listed = this->Names;
     Listed.push_back(this->NewParent);
-    this->publish(0, listTopic("north"), listOf(Listed, 2));
+    this->publish(0, listTopic("north"), makeInstanceList(Listed, 2));
   }
 
   void run(Millis Length) {
@@ -121,7 +121,7 @@
         this->Frames.pop_front();
         if (!this->Closed.count(Next.Link) &&
             !this->SilentLinks.count(Next.Link))
-          this->Nodes[Next.To]->frame(Next.Link, Next.Bytes, this->Now);
+          this->Nodes[Next.To]->receiveFrame(Next.Link, Next.Bytes, this->Now);
       }
     }
   }
@@ -176,7 +176,7 @@
                         ParentChangeFixture) {
   this->listNewParent();
   this->run(Millis(400));
-  this->publish(1, ConfigTopic, versionOf(2));
+  this->publish(1, ConfigTopic, makeVersion(2));
   this->run(Millis(200));
   BOOST_TEST(this->inForce() == 2u);
 }
@@ -237,7 +237,7 @@
 BOOST_FIXTURE_TEST_CASE(VersionArrivesThroughAnotherAncestor,
                         ParentChangeFixture) {
   this->SilentLinks.insert(OldLink);
-  this->publish(3, ConfigTopic, versionOf(2));
+  this->publish(3, ConfigTopic, makeVersion(2));
   TimePoint Start = this->Now;
   while (!this->Dialled.count(this->Grandparent) &&
          this->Now - Start < Millis(3000))
--- a/src/control/ReadPlan.cpp
+++ b/src/control/ReadPlan.cpp
@@ -18,11 +18,11 @@
 constexpr int VersionPatience = 3;
 
 ReadPlan planStart(const ReadSituation &Of) {
-  if (Of.TakenForSeed)
+  if (Of.UsedAsSeed)
     return {ReadDuty::ListForOthers, "taken for a seed"};
   if (!Of.HasSeeds)
     return {ReadDuty::List, "no seeds"};
-  if (Of.Waited >= Of.PeersFirst)
+  if (Of.SinceStart >= Of.PeerWaitTime)
     return {ReadDuty::List, "seeds did not tell"};
   return {ReadDuty::None, "asks its seeds"};
 }
@@ -32,19 +32,20 @@
 ReadPlan planReading(const ReadSituation &Of) {
   if (!Of.HasList)
     return planStart(Of);
-  bool PeersHadTheirTurn = Of.HeardFromAny || Of.Waited >= Of.PeersFirst;
-  bool Reads = Of.IsReader && !Of.HearsSeed;
-  if (PeersHadTheirTurn && Reads && Of.IsFirst)
+  bool PeersHadTheirTurn =
+      Of.HasNeighbourState || Of.SinceStart >= Of.PeerWaitTime;
+  bool Reads = Of.IsReader && !Of.HasSeedLink;
+  if (PeersHadTheirTurn && Reads && Of.IsFirstReader)
     return {ReadDuty::Watch, "reader"};
-  if (PeersHadTheirTurn && Of.IsOrphan)
+  if (PeersHadTheirTurn && Of.LostParent)
     return {ReadDuty::Watch, "no parent"};
   if (PeersHadTheirTurn && Of.ReadersFellBehind)
     return {ReadDuty::Watch, "readers fell behind"};
   if (PeersHadTheirTurn && Reads)
     return {ReadDuty::Spare, "spare reader"};
-  if (PeersHadTheirTurn && Of.DistrustsParent)
+  if (PeersHadTheirTurn && Of.ParentMayBeSlow)
     return {ReadDuty::Spare, "parent was lost"};
-  if (!Of.HasVersion && Of.Waited >= VersionPatience * Of.PeersFirst)
+  if (!Of.HasVersion && Of.SinceStart >= VersionPatience * Of.PeerWaitTime)
     return {ReadDuty::Once, "no version"};
   return {ReadDuty::None, "told by others"};
 }
--- a/src/control/ReadPlan.h
+++ b/src/control/ReadPlan.h
@@ -21,32 +21,32 @@
   /// It was given seeds to ask.
   bool HasSeeds = false;
   /// Somebody who has no list has turned to it.
-  bool TakenForSeed = false;
+  bool UsedAsSeed = false;
   /// It is linked to a seed and knows no neighbours yet.
-  bool HearsSeed = false;
+  bool HasSeedLink = false;
   /// Some neighbour has told what it holds.
-  bool HeardFromAny = false;
+  bool HasNeighbourState = false;
   /// It is among its data centre's readers, or so few are listed that all read.
   bool IsReader = false;
   /// It is the first of them, or all read.
-  bool IsFirst = false;
+  bool IsFirstReader = false;
   /// It has had no link to its parent for a while.
-  bool IsOrphan = false;
+  bool LostParent = false;
   /// It has a parent again after it had none, and that one may be slow.
-  bool DistrustsParent = false;
+  bool ParentMayBeSlow = false;
   /// What it holds was not confirmed for so long that the readers must be gone.
   bool ReadersFellBehind = false;
   /// A version is in force.
   bool HasVersion = false;
   /// Since its start, and how long peers are given to answer first.
-  Millis Waited{0};
-  Millis PeersFirst{0};
+  Millis SinceStart{0};
+  Millis PeerWaitTime{0};
 };
 
 struct ReadPlan {
-  ReadDuty What = ReadDuty::None;
+  ReadDuty Duty = ReadDuty::None;
   /// For the log.
-  const char *Why = "";
+  const char *Reason = "";
 };
 
 ReadPlan planReading(const ReadSituation &Of);
--- a/src/control/ReadPlanTest.cpp
+++ b/src/control/ReadPlanTest.cpp
@@ -22,42 +22,44 @@
     {"asks its seeds", [](ReadSituation &) {}, "none"},
     {"has no seeds", [](ReadSituation &Of) { Of.HasSeeds = false; }, "list"},
     {"others have turned to it",
-     [](ReadSituation &Of) { Of.TakenForSeed = true; }, "list"},
+     [](ReadSituation &Of) { Of.UsedAsSeed = true; }, "list"},
     {"its seeds did not answer",
-     [](ReadSituation &Of) { Of.Waited = Of.PeersFirst; }, "list"},
+     [](ReadSituation &Of) { Of.SinceStart = Of.PeerWaitTime; }, "list"},
     {"takes itself for a reader, for its list is empty",
-     [](ReadSituation &Of) { Of.IsReader = Of.IsFirst = true; }, "none"},
+     [](ReadSituation &Of) { Of.IsReader = Of.IsFirstReader = true; }, "none"},
 };
 
 /// A node in the midst of a large fleet, with lists and a version.
 const PlanCase Runs[] = {
     {"is told by others", [](ReadSituation &) {}, "none"},
     {"the first reader",
-     [](ReadSituation &Of) { Of.IsReader = Of.IsFirst = true; }, "watch"},
+     [](ReadSituation &Of) { Of.IsReader = Of.IsFirstReader = true; }, "watch"},
     {"the second reader", [](ReadSituation &Of) { Of.IsReader = true; },
      "spare"},
     {"the second reader, without a parent",
-     [](ReadSituation &Of) { Of.IsReader = Of.IsOrphan = true; }, "watch"},
-    {"has lost its parent", [](ReadSituation &Of) { Of.IsOrphan = true; },
+     [](ReadSituation &Of) { Of.IsReader = Of.LostParent = true; }, "watch"},
+    {"has lost its parent", [](ReadSituation &Of) { Of.LostParent = true; },
      "watch"},
     {"has a parent again, which may be slow",
-     [](ReadSituation &Of) { Of.DistrustsParent = true; }, "spare"},
+     [](ReadSituation &Of) { Of.ParentMayBeSlow = true; }, "spare"},
     {"the readers are gone in a way that nobody sees",
      [](ReadSituation &Of) { Of.ReadersFellBehind = true; }, "watch"},
     {"its data centre is empty so far, and its seed tells it",
-     [](ReadSituation &Of) { Of.IsReader = Of.IsFirst = Of.HearsSeed = true; },
+     [](ReadSituation &Of) {
+       Of.IsReader = Of.IsFirstReader = Of.HasSeedLink = true;
+     },
      "none"},
     {"a reader that has just started and heard nobody",
      [](ReadSituation &Of) {
-       Of.IsReader = Of.IsFirst = true;
-       Of.HeardFromAny = false;
-       Of.Waited = Millis(0);
+       Of.IsReader = Of.IsFirstReader = true;
+       Of.HasNeighbourState = false;
+       Of.SinceStart = Millis(0);
      },
      "none"},
     {"has no version after long",
      [](ReadSituation &Of) {
        Of.HasVersion = false;
-       Of.Waited = 3 * Of.PeersFirst;
+       Of.SinceStart = 3 * Of.PeerWaitTime;
      },
      "once"},
 };
@@ -72,26 +74,26 @@
                      boost::unit_test::data::make(Starts), Row) {
   ReadSituation At;
   At.HasSeeds = true;
-  At.PeersFirst = Millis(800);
+  At.PeerWaitTime = Millis(800);
   Row.Differs(At);
-  BOOST_TEST(dutyName(planReading(At).What) == std::string(Row.Duty));
+  BOOST_TEST(dutyName(planReading(At).Duty) == std::string(Row.Duty));
 }
 
 BOOST_DATA_TEST_CASE(RunningNodesReadWhatNobodyTells,
                      boost::unit_test::data::make(Runs), Row) {
   ReadSituation At;
-  At.HasSeeds = At.HasList = At.HeardFromAny = At.HasVersion = true;
-  At.PeersFirst = Millis(800);
-  At.Waited = Millis(10000);
+  At.HasSeeds = At.HasList = At.HasNeighbourState = At.HasVersion = true;
+  At.PeerWaitTime = Millis(800);
+  At.SinceStart = Millis(10000);
   Row.Differs(At);
-  BOOST_TEST(dutyName(planReading(At).What) == std::string(Row.Duty));
+  BOOST_TEST(dutyName(planReading(At).Duty) == std::string(Row.Duty));
 }
 
 // Those who wait for a seed must not wait for its jitter as well.
 BOOST_AUTO_TEST_CASE(SeedsReadAtOnce) {
   ReadSituation At;
-  At.HasSeeds = At.TakenForSeed = true;
-  BOOST_TEST((planReading(At).What == ReadDuty::ListForOthers));
+  At.HasSeeds = At.UsedAsSeed = true;
+  BOOST_TEST((planReading(At).Duty == ReadDuty::ListForOthers));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/node/NodeCore.cpp
+++ b/src/node/NodeCore.cpp
@@ -46,10 +46,10 @@
   this->Control.Members.DataCentre = DataCentre;
   this->Control.Spread.Guards = this->Guards;
   this->Control.Compile.Guards = this->Guards;
-  this->Control.Hold.Self = Name;
-  this->Control.Hold.Service = Service;
-  this->Control.Hold.Incarnation = Incarnation;
-  this->Control.Hold.Guards = this->Guards;
+  this->Control.QuarantineOpts.Self = Name;
+  this->Control.QuarantineOpts.Service = Service;
+  this->Control.QuarantineOpts.Incarnation = Incarnation;
+  this->Control.QuarantineOpts.Guards = this->Guards;
   this->CallEntry.Self = Name;
   this->CallEntry.DataCentre = DataCentre;
   this->CallEntry.Service = Service;
@@ -226,7 +226,7 @@
                      TimePoint Now) {
   this->observe(Now);
   if (Purpose == ControlPurpose)
-    return this->Control->frame(Link, Bytes, Now);
+    return this->Control->receiveFrame(Link, Bytes, Now);
   Result<wire::CallFrameT> Frame = decodeCallFrame(Bytes, this->Opts.Guards);
   if (!Frame) {
     this->Control->audit().add(Now, "link-rubbish", std::to_string(Link),
@@ -408,7 +408,7 @@
   this->StopDone = true;
   this->Control->audit().add(Now, "stopped", this->Opts.CallGate.Self, "",
                              Idle ? "nothing cut" : "time ran out");
-  this->Control->goodbye();
+  this->Control->sendGoodbye();
   this->Hook.Stopped();
 }
 
--- a/src/operator/Metrics.cpp
+++ b/src/operator/Metrics.cpp
@@ -66,9 +66,9 @@
     this->set(Name, Help, static_cast<double>(Value));
   };
   Set("hickorylift_spread_parts_sent", "Pieces of documents sent",
-      Spread.PushedParts);
+      Spread.Parts);
   Set("hickorylift_spread_snapshots_sent", "Whole documents sent",
-      Spread.SnapshotParts);
+      Spread.Snapshots);
   Set("hickorylift_spread_announces_sent", "Announcements sent",
       Spread.Announces);
   Set("hickorylift_spread_heartbeats_sent", "Heartbeats sent",
@@ -116,7 +116,7 @@
   Set("hickorylift_control_links", "Control links",
       Of.core().control().spreader().linkCount());
   Set("hickorylift_platform_reads", "Calls to the platform",
-      Of.core().control().reader().reads());
+      Of.core().control().documentSource().reads());
   Set("hickorylift_platform_unreadable",
       "Items of the platform that could not be used",
       Of.core().control().unreadableItems());
--- a/src/operator/OperatorServer.cpp
+++ b/src/operator/OperatorServer.cpp
@@ -127,7 +127,7 @@
     Out["config"]["for_ms"] =
         Json::Int64(toMillis(Now - *Control.configSince()).count());
   }
-  if (DocumentPtr Newest = Control.spreader().held(ConfigTopic))
+  if (DocumentPtr Newest = Control.spreader().storedDocument(ConfigTopic))
     Out["newest_known"] = toJson(Newest->stamp());
   if (std::optional<Millis> Age = Control.oldestListAge(Now))
     Out["oldest_list_age_ms"] = Json::Int64(Age->count());
@@ -135,7 +135,7 @@
   for (const std::string &One : Control.members().evacuated())
     Out["evacuated"].append(One);
   Out["reader"] = Control.isReader();
-  for (const std::string &Peer : Control.peers())
+  for (const std::string &Peer : Control.peerNames())
     Out["peers"].append(Peer);
   wire::Load Load = this->Of.core().gate().load(Now);
   Json::Value &Upstream = Out["upstream"];
@@ -169,7 +169,7 @@
   for (const std::string &One : Fleet.evacuated())
     Out["evacuated"].append(One);
   Out["data_centres"] = Json::Value(Json::objectValue);
-  for (const wire::FleetReportT &Report : Control.fleet(Now)) {
+  for (const wire::FleetReportT &Report : Control.fleetReports(Now)) {
     Json::Value &Row = Out["data_centres"][Report.data_centre];
     Row["heard"] = Report.heard;
     for (const auto &Count : Report.counts) {
--- a/src/reading/StoreRestoreTest.cpp
+++ b/src/reading/StoreRestoreTest.cpp
@@ -42,24 +42,24 @@
       this->Spread.confirm(Topic, Version, Revision, AskedAt);
     };
     Out.Held = [this](const std::string &Topic) {
-      return this->Spread.held(Topic);
+      return this->Spread.storedDocument(Topic);
     };
-    Out.Complete = [this](uint64_t At) { this->Spread.complete(At); };
-    Out.CompleteAt = [this] { return this->Spread.completeAt(); };
+    Out.Complete = [this](uint64_t At) { this->Spread.markComplete(At); };
+    Out.CompleteAt = [this] { return this->Spread.completeRevision(); };
     Out.Failed = [](const Error &, TimePoint) {};
-    Out.MetEra = [this](uint64_t Era) { this->Spread.meetEra(Era); };
-    Out.FirstEra = [this] { return this->Spread.firstEra(); };
+    Out.MetEra = [this](uint64_t Era) { this->Spread.recordEra(Era); };
+    Out.FirstEra = [this] { return this->Spread.earliestEra(); };
     Out.Restored = [this](uint64_t, uint64_t, TimePoint) { ++this->Restores; };
     return Out;
   }
 
   uint64_t version() const {
-    return stampOf(this->Spread.held(ConfigTopic)).Version;
+    return stampOrNull(this->Spread.storedDocument(ConfigTopic)).Version;
   }
 
   /// "none", "live" or "leaving".
   std::string stateOf(const std::string &Name) const {
-    DocumentPtr List = this->Spread.held(North);
+    DocumentPtr List = this->Spread.storedDocument(North);
     auto Found = List->entries().find(Name);
     if (Found == List->entries().end())
       return "none";
@@ -68,7 +68,8 @@
   }
 
   bool evacuates(const std::string &DataCentre) const {
-    return evacuatedIn(*this->Spread.held(EvacuationTopic)).count(DataCentre);
+    return evacuatedIn(*this->Spread.storedDocument(EvacuationTopic))
+        .count(DataCentre);
   }
 
   Spreader Spread;
@@ -98,8 +99,10 @@
     Hooks.Send = [this, Which](LinkId, const wire::SpreadFrameT &Frame) {
       this->Frames.emplace_back(1 - Which, Frame);
     };
-    Hooks.Accept = [](const Spreader::Arrival &, TimePoint) { return true; };
-    Hooks.Condemn = [](LinkId, const Error &) {};
+    Hooks.Accept = [](const Spreader::ReceivedDocument &, TimePoint) {
+      return true;
+    };
+    Hooks.CloseDeadLink = [](LinkId, const Error &) {};
     this->Nodes[Which] = std::make_unique<ReadingNode>(this->Store, Hooks);
   }
 
@@ -395,7 +398,7 @@
   this->run(Millis(1000));
   this->Store.put("i/y", "leaving");
   this->run(Millis(1000));
-  Stamp List = stampOf(this->node().Spread.held(North));
+  Stamp List = stampOrNull(this->node().Spread.storedDocument(North));
   BOOST_TEST(List.Version == this->Store.revision());
   BOOST_TEST(List.Revision == this->Store.revision());
 }
@@ -409,8 +412,8 @@
   void announce(const std::string &Topic) {
     wire::AnnounceT Frame;
     Frame.topic = Topic;
-    Frame.held = wireStamp(Stamp{1000000, 1000000, 1});
-    this->Nodes[0]->Spread.receive(PeerLink, frameOf(std::move(Frame)),
+    Frame.held = makeWireStamp(Stamp{1000000, 1000000, 1});
+    this->Nodes[0]->Spread.receive(PeerLink, makeFrame(std::move(Frame)),
                                    this->Now);
   }
 };
--- a/src/settings/Settings.cpp
+++ b/src/settings/Settings.cpp
@@ -177,24 +177,25 @@
     Membership::Options &Members = this->Out.Core.Control.Members;
     To.HeartbeatInterval =
         Spread.millis("heartbeat_ms", To.HeartbeatInterval.count(), 50, 60000);
-    To.SilenceLimit =
-        Spread.millis("silence_ms", To.SilenceLimit.count(), 200, 600000);
+    To.LivenessTimeout =
+        Spread.millis("silence_ms", To.LivenessTimeout.count(), 200, 600000);
     To.GraftDelay = Spread.millis("graft_ms", To.GraftDelay.count(), 0, 10000);
-    To.CompressFrom = static_cast<size_t>(
-        Spread.integer("compress_from_bytes", To.CompressFrom, 0, 1 << 30));
+    To.MinCompressBytes = static_cast<size_t>(
+        Spread.integer("compress_from_bytes", To.MinCompressBytes, 0, 1 << 30));
     Members.Fanout =
         static_cast<size_t>(Spread.integer("fanout", Members.Fanout, 1, 64));
     Members.Readers = static_cast<size_t>(
         Spread.integer("readers", Members.Readers, 1, 100000));
     Members.AllReadUpTo = static_cast<size_t>(
         Spread.integer("all_read_up_to", Members.AllReadUpTo, 0, 100000));
-    this->Out.Core.Control.OrphanReadsAfter =
+    this->Out.Core.Control.LostParentReadDelay =
         Spread.millis("orphan_reads_after_ms", 0, 0, 60000);
     Members.Bridges =
         static_cast<size_t>(Spread.integer("bridges", Members.Bridges, 1, 16));
-    this->Out.Core.Control.PeersFirst = Spread.millis(
-        "peers_first_ms", this->Out.Core.Control.PeersFirst.count(), 0, 60000);
-    if (To.SilenceLimit < MinMissedHeartbeats * To.HeartbeatInterval)
+    this->Out.Core.Control.PeerWaitTime =
+        Spread.millis("peers_first_ms",
+                      this->Out.Core.Control.PeerWaitTime.count(), 0, 60000);
+    if (To.LivenessTimeout < MinMissedHeartbeats * To.HeartbeatInterval)
       Spread.fault("silence_ms", "expected at least three times heartbeat_ms");
     Spread.finish();
   }
@@ -259,7 +260,7 @@
 
   void readQuarantine(JsonObject &Top) {
     JsonObject Section = this->section(Top, "quarantine");
-    Quarantine::Options &To = this->Out.Core.Control.Hold;
+    Quarantine::Options &To = this->Out.Core.Control.QuarantineOpts;
     auto Length = [&](const char *Key, Millis Default) {
       int64_t Seconds = Default.count() / 1000;
       return Millis(1000 *
--- a/src/spread/FleetView.cpp
+++ b/src/spread/FleetView.cpp
@@ -60,21 +60,23 @@
 }
 
 void FleetView::setRefusal(const Stamp &Of, std::string Fault) {
-  if (Of < this->Refused)
+  if (Of < this->RefusedStamp)
     return;
-  this->Refused = Of;
+  this->RefusedStamp = Of;
   this->RefusedFault = std::move(Fault);
 }
 
-void FleetView::childReport(LinkId Link, const wire::FleetReportT &Report,
-                            TimePoint Now) {
-  this->Children.insert_or_assign(Link, Heard{Report, Now});
+void FleetView::recordChildReport(LinkId Link, const wire::FleetReportT &Report,
+                                  TimePoint Now) {
+  this->Children.insert_or_assign(Link, ReceivedReport{Report, Now});
 }
 
-void FleetView::exchange(const wire::FleetExchangeT &Said, TimePoint Now) {
+void FleetView::recordExchange(const wire::FleetExchangeT &Said,
+                               TimePoint Now) {
   for (const auto &Report : Said.reports)
     if (Report->data_centre != this->DataCentre)
-      this->Others.insert_or_assign(Report->data_centre, Heard{*Report, Now});
+      this->OtherDataCentres.insert_or_assign(Report->data_centre,
+                                              ReceivedReport{*Report, Now});
 }
 
 wire::FleetReportT FleetView::report(TimePoint Now) const {
@@ -82,21 +84,22 @@
   Out.data_centre = this->DataCentre;
   Out.heard = 1;
   addCount(Out,
-           wire::Stamp(this->InForce.Version, this->InForce.Revision,
-                       this->InForce.Hash),
+           wire::Stamp(this->ActiveStamp.Version, this->ActiveStamp.Revision,
+                       this->ActiveStamp.Hash),
            this->Build, 1);
   // A refusal matters until something newer is in force here.
-  if (this->Refused > this->InForce) {
+  if (this->RefusedStamp > this->ActiveStamp) {
     wire::RefusalT Own;
-    Own.stamp = std::make_unique<wire::Stamp>(
-        this->Refused.Version, this->Refused.Revision, this->Refused.Hash);
+    Own.stamp = std::make_unique<wire::Stamp>(this->RefusedStamp.Version,
+                                              this->RefusedStamp.Revision,
+                                              this->RefusedStamp.Hash);
     Own.nodes = 1;
     Own.sample_node = this->Self;
     Own.fault = this->RefusedFault;
     addRefusal(Out, Own);
   }
   for (const auto &[Link, Child] : this->Children) {
-    if (Now - Child.At > this->Freshness)
+    if (Now - Child.ReceivedAt > this->MaxReportAge)
       continue;
     Out.heard += Child.Report.heard;
     for (const auto &Row : Child.Report.counts)
@@ -108,10 +111,10 @@
   return Out;
 }
 
-std::vector<wire::FleetReportT> FleetView::fleet(TimePoint Now) const {
+std::vector<wire::FleetReportT> FleetView::fleetReports(TimePoint Now) const {
   std::vector<wire::FleetReportT> Out{this->report(Now)};
-  for (const auto &[Name, Other] : this->Others)
-    if (Now - Other.At <= this->Freshness)
+  for (const auto &[Name, Other] : this->OtherDataCentres)
+    if (Now - Other.ReceivedAt <= this->MaxReportAge)
       Out.push_back(Other.Report);
   return Out;
 }
--- a/src/spread/FleetView.h
+++ b/src/spread/FleetView.h
@@ -21,39 +21,39 @@
   FleetView(std::string DataCentre, std::string Self, uint32_t Build,
             Millis Freshness)
       : DataCentre(std::move(DataCentre)), Self(std::move(Self)), Build(Build),
-        Freshness(Freshness) {}
+        MaxReportAge(Freshness) {}
 
-  void setInForce(const Stamp &Held) { this->InForce = Held; }
+  void setActiveVersion(const Stamp &Held) { this->ActiveStamp = Held; }
   /// The newest version that this node refused, and its first fault.
   void setRefusal(const Stamp &Of, std::string Fault);
 
-  void childReport(LinkId Link, const wire::FleetReportT &Report,
-                   TimePoint Now);
-  void dropChild(LinkId Link) { this->Children.erase(Link); }
+  void recordChildReport(LinkId Link, const wire::FleetReportT &Report,
+                         TimePoint Now);
+  void removeChild(LinkId Link) { this->Children.erase(Link); }
   /// What another data centre's root said of its own.
-  void exchange(const wire::FleetExchangeT &Heard, TimePoint Now);
+  void recordExchange(const wire::FleetExchangeT &Heard, TimePoint Now);
 
   /// This node and all below it.
   wire::FleetReportT report(TimePoint Now) const;
   /// This node's part, and the other data centres as last heard. An old
   /// report is left out: its nodes then count as not heard from.
-  std::vector<wire::FleetReportT> fleet(TimePoint Now) const;
+  std::vector<wire::FleetReportT> fleetReports(TimePoint Now) const;
 
 private:
-  struct Heard {
+  struct ReceivedReport {
     wire::FleetReportT Report;
-    TimePoint At;
+    TimePoint ReceivedAt;
   };
 
   std::string DataCentre;
   std::string Self;
   uint32_t Build;
-  Millis Freshness;
-  Stamp InForce;
-  Stamp Refused;
+  Millis MaxReportAge;
+  Stamp ActiveStamp;
+  Stamp RefusedStamp;
   std::string RefusedFault;
-  std::map<LinkId, Heard> Children;
-  std::map<std::string, Heard> Others;
+  std::map<LinkId, ReceivedReport> Children;
+  std::map<std::string, ReceivedReport> OtherDataCentres;
 };
 
 Stamp stampFromWire(const wire::Stamp *Of);
--- a/src/spread/Frames.h
+++ b/src/spread/Frames.h
@@ -23,18 +23,18 @@
   return {Of->version(), Of->revision(), Of->hash()};
 }
 
-inline std::unique_ptr<wire::Stamp> wireStamp(const Stamp &Of) {
+inline std::unique_ptr<wire::Stamp> makeWireStamp(const Stamp &Of) {
   return std::make_unique<wire::Stamp>(toWire(Of));
 }
 
-template <typename PayloadT> wire::SpreadFrameT frameOf(PayloadT Payload) {
+template <typename PayloadT> wire::SpreadFrameT makeFrame(PayloadT Payload) {
   wire::SpreadFrameT Frame;
   Frame.payload.Set(std::move(Payload));
   return Frame;
 }
 
 /// Of no document, the stamp below all others.
-inline Stamp stampOf(const DocumentPtr &Doc) {
+inline Stamp stampOrNull(const DocumentPtr &Doc) {
   return Doc ? Doc->stamp() : Stamp();
 }
 
--- a/src/spread/SpreadTest.cpp
+++ b/src/spread/SpreadTest.cpp
@@ -33,10 +33,10 @@
         ++this->Frames[I];
         this->Queue.push_back({1 - I, std::move(Frame)});
       };
-      Hooks.Accept = [this, I](const Spreader::Arrival &, TimePoint) {
+      Hooks.Accept = [this, I](const Spreader::ReceivedDocument &, TimePoint) {
         return this->Accepts[I];
       };
-      Hooks.Condemn = [this, I](LinkId, const Error &) {
+      Hooks.CloseDeadLink = [this, I](LinkId, const Error &) {
         ++this->Condemned[I];
       };
       this->Nodes[I] = std::make_unique<Spreader>(Opts, Hooks, 1 + I);
@@ -79,19 +79,19 @@
 
 BOOST_AUTO_TEST_CASE(SnapshotThenDelta) {
   Spreader::Options Opts;
-  Opts.PartBytes = 1000; // many pieces
-  Opts.CompressFrom = 1u << 30;
+  Opts.MaxPartBytes = 1000; // many pieces
+  Opts.MinCompressBytes = 1u << 30;
   PairOfNodes Both(Opts);
   Both.Nodes[0]->publish("config", documentOf(1, 50, 300), Both.Now);
   Both.link();
   Both.run(Millis(500));
-  BOOST_REQUIRE(Both.Nodes[1]->held("config"));
-  BOOST_TEST(Both.Nodes[1]->held("config")->stamp().Version == 1u);
-  uint64_t Before = Both.Nodes[0]->counters().SnapshotParts;
+  BOOST_REQUIRE(Both.Nodes[1]->storedDocument("config"));
+  BOOST_TEST(Both.Nodes[1]->storedDocument("config")->stamp().Version == 1u);
+  uint64_t Before = Both.Nodes[0]->counters().Snapshots;
   Both.Nodes[0]->publish("config", documentOf(2, 50, 300), Both.Now);
   Both.settle();
-  BOOST_TEST(Both.Nodes[1]->held("config")->stamp().Version == 2u);
-  BOOST_TEST(Both.Nodes[0]->counters().SnapshotParts == Before);
+  BOOST_TEST(Both.Nodes[1]->storedDocument("config")->stamp().Version == 2u);
+  BOOST_TEST(Both.Nodes[0]->counters().Snapshots == Before);
 }
 
 // A node that takes over reading goes on from what its neighbours have told. If
@@ -101,7 +101,7 @@
   PairOfNodes Both{Spreader::Options()};
   Both.Nodes[0]->publish("config", documentOf(3, 2, 9), Both.Now);
   Both.Nodes[0]->publish("list", documentOf(4, 2, 9), Both.Now);
-  Both.Nodes[0]->complete(9);
+  Both.Nodes[0]->markComplete(9);
   Both.link();
   // The other end has heard of both, and has neither.
   while (!Both.Queue.empty()) {
@@ -111,11 +111,11 @@
               1, Both.Queue.front().Frame, Both.Now);
     Both.Queue.pop_front();
   }
-  BOOST_TEST(Both.Nodes[1]->completeAt() == 0u);
-  Both.Nodes[1]->complete(20);
-  BOOST_TEST(Both.Nodes[1]->completeAt() == 0u);
+  BOOST_TEST(Both.Nodes[1]->completeRevision() == 0u);
+  Both.Nodes[1]->markComplete(20);
+  BOOST_TEST(Both.Nodes[1]->completeRevision() == 0u);
   Both.run(Millis(5000));
-  BOOST_TEST(Both.Nodes[1]->completeAt() == 9u);
+  BOOST_TEST(Both.Nodes[1]->completeRevision() == 9u);
 }
 
 BOOST_AUTO_TEST_CASE(OlderIsNeitherTakenNorPublished) {
@@ -125,8 +125,8 @@
   Both.Nodes[1]->publish("config", documentOf(1, 2, 9), Both.Now);
   Both.link();
   Both.run(Millis(500));
-  BOOST_TEST(Both.Nodes[0]->held("config")->stamp().Version == 3u);
-  BOOST_TEST(Both.Nodes[1]->held("config")->stamp().Version == 3u);
+  BOOST_TEST(Both.Nodes[0]->storedDocument("config")->stamp().Version == 3u);
+  BOOST_TEST(Both.Nodes[1]->storedDocument("config")->stamp().Version == 3u);
 }
 
 // One end's process dies without closing anything. Its neighbour would go on
@@ -156,13 +156,13 @@
   Both.Nodes[0]->publish("a-list", documentOf(1, 10, 3000), Both.Now);
   Both.link();
   Both.run(Millis(500));
-  bool First = Both.Nodes[1]->held("big") != nullptr;
-  bool Second = Both.Nodes[1]->held("config") != nullptr;
+  bool First = Both.Nodes[1]->storedDocument("big") != nullptr;
+  bool Second = Both.Nodes[1]->storedDocument("config") != nullptr;
   BOOST_TEST(First != Second);
-  BOOST_TEST(Both.Nodes[1]->held("a-list"));
+  BOOST_TEST(Both.Nodes[1]->storedDocument("a-list"));
   Both.run(Millis(10000));
-  BOOST_TEST(Both.Nodes[1]->held("big"));
-  BOOST_TEST(Both.Nodes[1]->held("config"));
+  BOOST_TEST(Both.Nodes[1]->storedDocument("big"));
+  BOOST_TEST(Both.Nodes[1]->storedDocument("config"));
 }
 
 BOOST_AUTO_TEST_CASE(AgeIsNeverYoungerThanTheTruth) {
@@ -252,10 +252,10 @@
   TimePoint Now{};
   FleetView Child("north", "child", 1, Millis(1000));
   FleetView Root("north", "root", 1, Millis(1000));
-  Child.setInForce({2, 2, 2});
+  Child.setActiveVersion({2, 2, 2});
   Child.setRefusal({3, 3, 3}, "bad");
-  Root.setInForce({2, 2, 2});
-  Root.childReport(5, Child.report(Now), Now);
+  Root.setActiveVersion({2, 2, 2});
+  Root.recordChildReport(5, Child.report(Now), Now);
   wire::FleetReportT Sum = Root.report(Now);
   BOOST_TEST(Sum.heard == 2u);
   BOOST_REQUIRE(Sum.counts.size() == 1u);
--- a/src/spread/Spreader.cpp
+++ b/src/spread/Spreader.cpp
@@ -32,16 +32,16 @@
 
 Spreader::Spreader(Options Opts, Hooks Hooks, uint64_t Seed)
     : Opts(Opts), Hook(std::move(Hooks)), Random(Seed),
-      Snapshots(Opts.SnapshotBytesPerSecond, Opts.SnapshotBurstBytes) {}
+      SnapshotBudget(Opts.SnapshotBytesPerSecond, Opts.SnapshotBurstBytes) {}
 
 bool Spreader::publish(const std::string &Topic, const DocumentPtr &Doc,
                        TimePoint Now) {
-  if (this->isOld(Doc->stamp(), this->Topics[Topic].Held) ||
+  if (this->isOutdated(Doc->stamp(), this->Topics[Topic].Stored) ||
       this->neighbourHasNewer(Topic, Doc->stamp())) {
-    ++this->Counts.Stale;
+    ++this->Counts.StalePublishes;
     return false;
   }
-  this->take(Topic, Doc, "platform", std::nullopt, Now);
+  this->storeDocument(Topic, Doc, "platform", std::nullopt, Now);
   return true;
 }
 
@@ -54,35 +54,36 @@
     return false;
   for (const auto &[Id, On] : this->Links) {
     auto Found = On.Topics.find(Topic);
-    if (Found != On.Topics.end() && Found->second.Theirs > Than)
+    if (Found != On.Topics.end() && Found->second.NeighbourStamp > Than)
       return true;
   }
   return false;
 }
 
-bool Spreader::holdsAllOf(const Link &On) const {
+bool Spreader::hasAllDocumentsOf(const Link &On) const {
   return std::all_of(On.Topics.begin(), On.Topics.end(), [&](const auto &One) {
-    return One.second.Theirs <= stampOf(this->held(One.first));
+    return One.second.NeighbourStamp <=
+           stampOrNull(this->storedDocument(One.first));
   });
 }
 
 // A neighbour may have told of something newer that is still on its way here.
-void Spreader::complete(uint64_t Revision) {
+void Spreader::markComplete(uint64_t Revision) {
   bool HoldsAll =
       std::all_of(this->Links.begin(), this->Links.end(), [&](const auto &One) {
-        return this->holdsAllOf(One.second);
+        return this->hasAllDocumentsOf(One.second);
       });
   if (HoldsAll)
-    this->CompleteAt = std::max(this->CompleteAt, Revision);
+    this->CompleteRevision = std::max(this->CompleteRevision, Revision);
 }
 
-void Spreader::meetEra(uint64_t Era) {
-  this->FirstEra = std::min(this->FirstEra.value_or(Era), Era);
+void Spreader::recordEra(uint64_t Era) {
+  this->EarliestEra = std::min(this->EarliestEra.value_or(Era), Era);
 }
 
-bool Spreader::heardFromAny() const {
+bool Spreader::hasNeighbourState() const {
   for (const auto &[Id, On] : this->Links)
-    if (On.HeardSeq != 0)
+    if (On.ReceivedSeq != 0)
       return true;
   return false;
 }
@@ -90,8 +91,8 @@
 void Spreader::confirm(const std::string &Topic, uint64_t Version,
                        uint64_t Revision, TimePoint AskedAt) {
   auto &State = this->Topics[Topic];
-  Stamp Held = stampOf(State.Held);
-  if (!State.Held || Held.Version != Version || Held.Revision != Revision)
+  Stamp Held = stampOrNull(State.Stored);
+  if (!State.Stored || Held.Version != Version || Held.Revision != Revision)
     return;
   if (!State.ConfirmedAt || *State.ConfirmedAt < AskedAt)
     State.ConfirmedAt = AskedAt;
@@ -99,16 +100,16 @@
 
 void Spreader::resync(TimePoint Now) {
   for (auto &[Id, On] : this->Links) {
-    On.SentDigest = 0;
-    On.HeardAt = Now;
+    On.LastSentDigest = 0;
+    On.LastReceivedAt = Now;
     this->sendHeartbeat(Id, On, Now);
   }
 }
 
-void Spreader::hastenHeartbeat(LinkId Id, TimePoint At) {
+void Spreader::sendHeartbeatBy(LinkId Id, TimePoint At) {
   auto Found = this->Links.find(Id);
   if (Found != this->Links.end())
-    Found->second.HeartbeatAt = std::min(Found->second.HeartbeatAt, At);
+    Found->second.NextHeartbeatAt = std::min(Found->second.NextHeartbeatAt, At);
 }
 
 void Spreader::linkUp(LinkId Id, const std::string &Peer, bool Eager,
@@ -117,8 +118,8 @@
   On = Link();
   On.Peer = Peer;
   On.Eager = Eager;
-  On.HeardAt = Now;
-  On.HeartbeatAt = Now;
+  On.LastReceivedAt = Now;
+  On.NextHeartbeatAt = Now;
   this->sendHeartbeat(Id, On, Now);
 }
 
@@ -129,17 +130,17 @@
       continue;
     State.PullSent = false;
     // Whoever else has it is asked in the next tick.
-    if (State.PullAt)
-      State.PullAt = TimePoint();
+    if (State.NextPullAt)
+      State.NextPullAt = TimePoint();
   }
 }
 
-DocumentPtr Spreader::held(const std::string &Topic) const {
+DocumentPtr Spreader::storedDocument(const std::string &Topic) const {
   auto Found = this->Topics.find(Topic);
-  return Found == this->Topics.end() ? nullptr : Found->second.Held;
+  return Found == this->Topics.end() ? nullptr : Found->second.Stored;
 }
 
-DocumentPtr Spreader::accepted(const std::string &Topic) const {
+DocumentPtr Spreader::acceptedDocument(const std::string &Topic) const {
   auto Found = this->Topics.find(Topic);
   return Found == this->Topics.end() ? nullptr : Found->second.Accepted;
 }
@@ -152,66 +153,68 @@
   return toMillis(Now - *Found->second.ConfirmedAt);
 }
 
-bool Spreader::isOld(const Stamp &New, const DocumentPtr &Than) const {
+bool Spreader::isOutdated(const Stamp &New, const DocumentPtr &Than) const {
   if (!this->Opts.Guards.KeepOrder)
-    return New == stampOf(Than);
-  return New <= stampOf(Than);
+    return New == stampOrNull(Than);
+  return New <= stampOrNull(Than);
 }
 
-void Spreader::take(const std::string &Name, const DocumentPtr &Doc,
-                    const std::string &From, std::optional<LinkId> Source,
-                    TimePoint Now) {
-  Topic &State = this->Topics[Name];
-  if (this->isOld(Doc->stamp(), State.Held))
+void Spreader::storeDocument(const std::string &Name, const DocumentPtr &Doc,
+                             const std::string &From,
+                             std::optional<LinkId> Source, TimePoint Now) {
+  TopicState &State = this->Topics[Name];
+  if (this->isOutdated(Doc->stamp(), State.Stored))
     return;
-  if (State.Held)
-    State.Bases.push_back(State.Held);
-  while (State.Bases.size() > this->Opts.KeptBases)
-    State.Bases.pop_front();
-  State.Held = Doc;
+  if (State.Stored)
+    State.DeltaBases.push_back(State.Stored);
+  while (State.DeltaBases.size() > this->Opts.MaxDeltaBases)
+    State.DeltaBases.pop_front();
+  State.Stored = Doc;
   // Nobody has confirmed the new one yet.
   State.ConfirmedAt.reset();
-  State.PullAt.reset();
+  State.NextPullAt.reset();
   State.PullSent = false;
   // Hand on before judging: the neighbours' wait should not include our
   // compiling, and a version that this build refuses may suit another.
-  this->spreadOn(Name, Source, Now);
-  this->judge(Name, State, Doc, From, Now);
+  this->forwardDocument(Name, Source, Now);
+  this->offerForAcceptance(Name, State, Doc, From, Now);
 }
 
-void Spreader::judge(const std::string &Name, Topic &State,
-                     const DocumentPtr &Doc, const std::string &From,
-                     TimePoint Now) {
-  if (this->isOld(Doc->stamp(), State.Accepted))
+void Spreader::offerForAcceptance(const std::string &Name, TopicState &State,
+                                  const DocumentPtr &Doc,
+                                  const std::string &From, TimePoint Now) {
+  if (this->isOutdated(Doc->stamp(), State.Accepted))
     return;
   if (this->Hook.Accept({Name, Doc, From}, Now))
     State.Accepted = Doc;
 }
 
-void Spreader::spreadOn(const std::string &Name, std::optional<LinkId> Source,
-                        TimePoint Now) {
-  const DocumentPtr Doc = this->Topics[Name].Held;
+void Spreader::forwardDocument(const std::string &Name,
+                               std::optional<LinkId> Source, TimePoint Now) {
+  const DocumentPtr Doc = this->Topics[Name].Stored;
   for (auto &[Id, On] : this->Links) {
     TopicOnLink &There = On.Topics[Name];
-    if (Source == Id || There.Theirs >= Doc->stamp())
+    if (Source == Id || There.NeighbourStamp >= Doc->stamp())
       continue;
     if (!There.Lazy.value_or(!On.Eager)) {
-      this->sendDocument(Id, Name, Doc, There.Theirs, /*Asked=*/false, Now);
-      There.Theirs = Doc->stamp();
+      this->sendDocument(Id, Name, Doc, There.NeighbourStamp, /*Asked=*/false,
+                         Now);
+      There.NeighbourStamp = Doc->stamp();
       continue;
     }
     wire::AnnounceT Announce;
     Announce.topic = Name;
-    Announce.held = wireStamp(Doc->stamp());
-    this->Hook.Send(Id, frameOf(std::move(Announce)));
+    Announce.held = makeWireStamp(Doc->stamp());
+    this->Hook.Send(Id, makeFrame(std::move(Announce)));
     ++this->Counts.Announces;
   }
 }
 
-DocumentPtr Spreader::findBase(const Topic &State, const Stamp &Have) const {
+DocumentPtr Spreader::findDeltaBase(const TopicState &State,
+                                    const Stamp &Have) const {
   if (Have.isNull())
     return nullptr;
-  for (const DocumentPtr &Base : State.Bases)
+  for (const DocumentPtr &Base : State.DeltaBases)
     if (Base->stamp() == Have)
       return Base;
   return nullptr;
@@ -220,30 +223,30 @@
 void Spreader::sendDocument(LinkId To, const std::string &Name,
                             const DocumentPtr &Doc, const Stamp &Have,
                             bool Asked, TimePoint Now) {
-  const Topic &State = this->Topics[Name];
-  if (DocumentPtr Base = this->findBase(State, Have))
+  const TopicState &State = this->Topics[Name];
+  if (DocumentPtr Base = this->findDeltaBase(State, Have))
     return this->sendParts(To, Name, Base, Doc);
   // A snapshot. Unless the neighbour asked, it may well get a delta from
   // someone else, so tell it the stamp and let it decide.
   if (!Asked && !Have.isNull()) {
     wire::AnnounceT Announce;
     Announce.topic = Name;
-    Announce.held = wireStamp(Doc->stamp());
-    this->Hook.Send(To, frameOf(std::move(Announce)));
+    Announce.held = makeWireStamp(Doc->stamp());
+    this->Hook.Send(To, makeFrame(std::move(Announce)));
     ++this->Counts.Announces;
     return;
   }
-  if (!this->spendSnapshot(Doc->byteSize(), Now)) {
+  if (!this->takeSnapshotBudget(Doc->byteSize(), Now)) {
     wire::BusyT Busy;
     Busy.topic = Name;
     Busy.retry_after_ms =
         static_cast<uint32_t>(1000.0 * static_cast<double>(Doc->byteSize()) /
                                   this->Opts.SnapshotBytesPerSecond +
                               1);
-    this->Hook.Send(To, frameOf(std::move(Busy)));
+    this->Hook.Send(To, makeFrame(std::move(Busy)));
     return;
   }
-  ++this->Counts.SnapshotParts;
+  ++this->Counts.Snapshots;
   this->sendParts(To, Name, nullptr, Doc);
 }
 
@@ -251,53 +254,53 @@
 // answers fill this node's memory and delay its heartbeats until its links are
 // condemned, and the herd starts over. A debt is allowed, so that a document
 // larger than the burst still goes out, one at a time.
-bool Spreader::spendSnapshot(size_t Bytes, TimePoint Now) {
-  return Bytes <= this->Opts.SnapshotFreeBytes ||
-         this->Snapshots.takeWithDebt(Now, static_cast<double>(Bytes));
+bool Spreader::takeSnapshotBudget(size_t Bytes, TimePoint Now) {
+  return Bytes <= this->Opts.UnmeteredSnapshotBytes ||
+         this->SnapshotBudget.takeWithDebt(Now, static_cast<double>(Bytes));
 }
 
 // The children of one node mostly hold the same version, and those who start
 // hold none: what was packed for the first serves the others.
-const Spreader::Packed &Spreader::packed(const std::string &Name,
-                                         const DocumentPtr &Base,
-                                         const DocumentPtr &Target) {
-  Packed &Last = this->LastPacked[Name];
-  if (Last.Base == stampOf(Base) && Last.Target == Target->stamp())
+const Spreader::PackedChangeSet &
+Spreader::packOrReuse(const std::string &Name, const DocumentPtr &Base,
+                      const DocumentPtr &Target) {
+  PackedChangeSet &Last = this->LastPacked[Name];
+  if (Last.Base == stampOrNull(Base) && Last.Target == Target->stamp())
     return Last;
-  Last.Base = stampOf(Base);
+  Last.Base = stampOrNull(Base);
   Last.Target = Target->stamp();
   Last.Bytes = packChanges(
       makeDelta(Base ? Base->entries() : EntryMap(), Target->entries()),
-      this->Opts.CompressFrom, Last.RawSize);
+      this->Opts.MinCompressBytes, Last.RawSize);
   return Last;
 }
 
 void Spreader::sendParts(LinkId To, const std::string &Name,
                          const DocumentPtr &Base, const DocumentPtr &Target) {
-  const Packed &Whole = this->packed(Name, Base, Target);
+  const PackedChangeSet &Whole = this->packOrReuse(Name, Base, Target);
   size_t Count =
-      std::max<size_t>(1, (Whole.Bytes.size() + this->Opts.PartBytes - 1) /
-                              this->Opts.PartBytes);
+      std::max<size_t>(1, (Whole.Bytes.size() + this->Opts.MaxPartBytes - 1) /
+                              this->Opts.MaxPartBytes);
   for (size_t Index = 0; Index < Count; ++Index) {
     wire::PartT Part;
     Part.topic = Name;
-    Part.base = wireStamp(Whole.Base);
-    Part.target = wireStamp(Whole.Target);
+    Part.base = makeWireStamp(Whole.Base);
+    Part.target = makeWireStamp(Whole.Target);
     Part.index = static_cast<uint32_t>(Index);
     Part.count = static_cast<uint32_t>(Count);
     Part.raw_size = Whole.RawSize;
-    std::string Piece =
-        Whole.Bytes.substr(Index * this->Opts.PartBytes, this->Opts.PartBytes);
+    std::string Piece = Whole.Bytes.substr(Index * this->Opts.MaxPartBytes,
+                                           this->Opts.MaxPartBytes);
     Part.bytes.assign(Piece.begin(), Piece.end());
-    this->Hook.Send(To, frameOf(std::move(Part)));
-    ++this->Counts.PushedParts;
+    this->Hook.Send(To, makeFrame(std::move(Part)));
+    ++this->Counts.Parts;
   }
 }
 
 uint64_t Spreader::digest() const {
   uint64_t Sum = 1;
   for (const auto &[Name, State] : this->Topics) {
-    Stamp Held = stampOf(State.Held);
+    Stamp Held = stampOrNull(State.Stored);
     Sum = combineHash(Sum, contentHash(Name));
     Sum = combineHash(Sum, combineHash(Held.Version, Held.Revision));
     Sum = combineHash(Sum, Held.Hash);
@@ -308,10 +311,10 @@
 void Spreader::sendHeartbeat(LinkId To, Link &On, TimePoint Now) {
   wire::HeartbeatT Beat;
   uint64_t Digest = this->digest();
-  bool Full = Digest != On.SentDigest;
-  On.SentDigest = Digest;
+  bool Full = Digest != On.LastSentDigest;
+  On.LastSentDigest = Digest;
   for (const auto &[Name, State] : this->Topics) {
-    if (!State.Held)
+    if (!State.Stored)
       continue;
     uint32_t AgeMs = UINT32_MAX;
     if (State.ConfirmedAt)
@@ -322,24 +325,24 @@
     }
     auto Item = std::make_unique<wire::TopicStateT>();
     Item->topic = Name;
-    Item->held = wireStamp(State.Held->stamp());
+    Item->held = makeWireStamp(State.Stored->stamp());
     Item->age_ms = AgeMs;
     Beat.topics.push_back(std::move(Item));
   }
-  Beat.report = this->Hook.Report(To);
+  Beat.report = this->Hook.MakeReport(To);
   Beat.seq = ++On.SentSeq;
-  Beat.echo = On.HeardSeq;
-  Beat.complete_at = this->CompleteAt;
-  if (this->FirstEra)
-    Beat.first_era = *this->FirstEra;
-  On.SentAt.push_back(Now);
-  if (On.SentAt.size() > KeptSendTimes)
-    On.SentAt.pop_front();
-  this->Hook.Send(To, frameOf(std::move(Beat)));
+  Beat.echo = On.ReceivedSeq;
+  Beat.complete_at = this->CompleteRevision;
+  if (this->EarliestEra)
+    Beat.first_era = *this->EarliestEra;
+  On.HeartbeatsSentAt.push_back(Now);
+  if (On.HeartbeatsSentAt.size() > KeptSendTimes)
+    On.HeartbeatsSentAt.pop_front();
+  this->Hook.Send(To, makeFrame(std::move(Beat)));
   ++this->Counts.Heartbeats;
   // Spread by a fifth, so that nodes started together drift apart.
   double Jitter = std::uniform_real_distribution<>(0.9, 1.1)(this->Random);
-  On.HeartbeatAt =
+  On.NextHeartbeatAt =
       Now + std::chrono::duration_cast<Clock::duration>(
                 std::chrono::duration<double, std::milli>(
                     Jitter * this->Opts.HeartbeatInterval.count()));
@@ -350,11 +353,11 @@
 // arrival, keeps the age true when the bytes lay in a socket while this process
 // was paused: a list that looks young then lets a gate judge keys that are no
 // longer its own. The price is one heartbeat of extra age for each hop.
-void Spreader::freshen(const std::string &Name, const Stamp &Theirs,
-                       uint32_t AgeMs, TimePoint ComposedAfter) {
+void Spreader::updateConfirmedAt(const std::string &Name, const Stamp &Theirs,
+                                 uint32_t AgeMs, TimePoint ComposedAfter) {
   auto Found = this->Topics.find(Name);
-  if (Found == this->Topics.end() || !Found->second.Held ||
-      Found->second.Held->stamp() != Theirs || AgeMs == UINT32_MAX)
+  if (Found == this->Topics.end() || !Found->second.Stored ||
+      Found->second.Stored->stamp() != Theirs || AgeMs == UINT32_MAX)
     return;
   TimePoint At = ComposedAfter - Millis(AgeMs);
   auto &Known = Found->second.ConfirmedAt;
@@ -372,16 +375,17 @@
     this->resync(Now);
   std::vector<LinkId> Silent;
   for (auto &[Id, On] : this->Links) {
-    if (Now - On.HeardAt > this->Opts.SilenceLimit)
+    if (Now - On.LastReceivedAt > this->Opts.LivenessTimeout)
       Silent.push_back(Id);
-    else if (Now >= On.HeartbeatAt)
+    else if (Now >= On.NextHeartbeatAt)
       this->sendHeartbeat(Id, On, Now);
   }
   for (LinkId Id : Silent)
-    this->Hook.Condemn(Id, Error{Errc::Timeout, "heartbeat",
-                                 this->Links[Id].Peer, "link went silent"});
+    this->Hook.CloseDeadLink(Id,
+                             Error{Errc::Timeout, "heartbeat",
+                                   this->Links[Id].Peer, "link went silent"});
   for (auto &[Name, State] : this->Topics)
-    this->drivePull(Name, State, Now);
+    this->advancePull(Name, State, Now);
 }
 
 void Spreader::receive(LinkId From, const wire::SpreadFrameT &Frame,
@@ -390,12 +394,12 @@
   if (Found == this->Links.end())
     return;
   Link &On = Found->second;
-  On.HeardAt = Now;
+  On.LastReceivedAt = Now;
   if (const auto *Beat = Frame.payload.AsHeartbeat())
     return this->onHeartbeat(From, On, *Beat, Now);
   if (const auto *Announce = Frame.payload.AsAnnounce())
-    return this->notice(From, Announce->topic, fromWire(Announce->held.get()),
-                        Now);
+    return this->onNeighbourStamp(From, Announce->topic,
+                                  fromWire(Announce->held.get()), Now);
   if (const auto *Pull = Frame.payload.AsPull())
     return this->onPull(From, *Pull, Now);
   if (const auto *Part = Frame.payload.AsPart())
@@ -405,10 +409,11 @@
     return;
   }
   if (const auto *Busy = Frame.payload.AsBusy()) {
-    Topic &State = this->Topics[Busy->topic];
-    if (!State.PullAt || State.PullFrom != From)
+    TopicState &State = this->Topics[Busy->topic];
+    if (!State.NextPullAt || State.PullFrom != From)
       return;
-    State.PullAt = Now + Millis(Busy->retry_after_ms + this->Random() % 200);
+    State.NextPullAt =
+        Now + Millis(Busy->retry_after_ms + this->Random() % 200);
     // Another that has it may be asked sooner.
     State.PullSent = false;
   }
@@ -416,13 +421,13 @@
 
 void Spreader::onHeartbeat(LinkId From, Link &On, const wire::HeartbeatT &Beat,
                            TimePoint Now) {
-  On.HeardSeq = std::max(On.HeardSeq, Beat.seq);
+  On.ReceivedSeq = std::max(On.ReceivedSeq, Beat.seq);
   if (Beat.first_era)
-    this->meetEra(*Beat.first_era);
+    this->recordEra(*Beat.first_era);
   std::optional<TimePoint> ComposedAfter;
   uint32_t Back = On.SentSeq - Beat.echo;
-  if (Beat.echo != 0 && Back < On.SentAt.size())
-    ComposedAfter = On.SentAt[On.SentAt.size() - 1 - Back];
+  if (Beat.echo != 0 && Back < On.HeartbeatsSentAt.size())
+    ComposedAfter = On.HeartbeatsSentAt[On.HeartbeatsSentAt.size() - 1 - Back];
   if (!this->Opts.Guards.EchoedAges)
     ComposedAfter = Now;
   // Ages without names follow the order of the topics named last.
@@ -430,25 +435,28 @@
   for (const auto &Item : Beat.topics) {
     Stamp Theirs = fromWire(Item->held.get());
     if (ComposedAfter)
-      this->freshen(Item->topic, Theirs, Item->age_ms, *ComposedAfter);
+      this->updateConfirmedAt(Item->topic, Theirs, Item->age_ms,
+                              *ComposedAfter);
     Order.push_back(Item->topic);
   }
   // What is asked for first comes first: the lists, of which the names sort
   // last, before a version that may be half a megabyte.
   for (auto Item = Beat.topics.rbegin(); Item != Beat.topics.rend(); ++Item)
-    this->notice(From, (*Item)->topic, fromWire((*Item)->held.get()), Now);
+    this->onNeighbourStamp(From, (*Item)->topic, fromWire((*Item)->held.get()),
+                           Now);
   // What we hold is as new as what they hold, so it lacks nothing either.
-  if (this->holdsAllOf(On))
-    this->CompleteAt = std::max(this->CompleteAt, Beat.complete_at);
+  if (this->hasAllDocumentsOf(On))
+    this->CompleteRevision = std::max(this->CompleteRevision, Beat.complete_at);
   if (!Order.empty()) {
-    On.AgeOrder = std::move(Order);
+    On.AgeTopics = std::move(Order);
     return;
   }
   if (!ComposedAfter)
     return;
-  for (size_t I = 0; I < Beat.ages_ms.size() && I < On.AgeOrder.size(); ++I)
-    this->freshen(On.AgeOrder[I], On.Topics[On.AgeOrder[I]].Theirs,
-                  Beat.ages_ms[I], *ComposedAfter);
+  for (size_t I = 0; I < Beat.ages_ms.size() && I < On.AgeTopics.size(); ++I)
+    this->updateConfirmedAt(On.AgeTopics[I],
+                            On.Topics[On.AgeTopics[I]].NeighbourStamp,
+                            Beat.ages_ms[I], *ComposedAfter);
 }
 
 } // namespace hickorylift
--- a/src/spread/Spreader.h
+++ b/src/spread/Spreader.h
@@ -42,15 +42,15 @@
     /// How long a pull may stay unanswered before another link is asked.
     Millis PullTimeout{1000};
     /// A link on which nothing came for this long is condemned.
-    Millis SilenceLimit{7000};
+    Millis LivenessTimeout{7000};
     /// Largest piece of a change set in one frame, in bytes.
-    size_t PartBytes = 128 * 1024;
+    size_t MaxPartBytes = 128 * 1024;
     /// Largest change set that is taken from a neighbour, in bytes.
     size_t MaxChangeSetBytes = 96u << 20;
     /// Change sets smaller than this are sent as they are.
-    size_t CompressFrom = 256;
+    size_t MinCompressBytes = 256;
     /// Older versions kept as bases for deltas.
-    size_t KeptBases = 8;
+    size_t MaxDeltaBases = 8;
     /// Snapshots handed out: bytes a second, and the burst. Sets how fast a
     /// herd of empty nodes may draw on one neighbour.
     double SnapshotBytesPerSecond = 4e6;
@@ -58,41 +58,41 @@
     /// Documents up to this length are outside that budget: a list of a few
     /// hundred instances, which whoever starts needs before it can turn to
     /// anybody else, must not wait behind versions for others.
-    size_t SnapshotFreeBytes = 64 * 1024;
+    size_t UnmeteredSnapshotBytes = 64 * 1024;
     /// A jump of the clock between two ticks that counts as a pause.
     Millis PauseThreshold{1500};
     Safeguards Guards;
   };
 
   /// A document that was taken, and from whom.
-  struct Arrival {
+  struct ReceivedDocument {
     std::string Topic;
-    DocumentPtr Held;
-    std::string From;
+    DocumentPtr Doc;
+    std::string Source;
   };
 
   struct Hooks {
     std::function<void(LinkId, wire::SpreadFrameT)> Send;
     /// Judges a document. True puts it in force. False keeps what is in force;
     /// the document is still handed on, for another build may accept it.
-    std::function<bool(const Arrival &, TimePoint)> Accept;
+    std::function<bool(const ReceivedDocument &, TimePoint)> Accept;
     /// Closes a link that went silent.
-    std::function<void(LinkId, const Error &)> Condemn;
+    std::function<void(LinkId, const Error &)> CloseDeadLink;
     /// Fills the report on this node's subtree for the link's heartbeat, or
     /// leaves it null.
-    std::function<std::unique_ptr<wire::FleetReportT>(LinkId)> Report =
+    std::function<std::unique_ptr<wire::FleetReportT>(LinkId)> MakeReport =
         [](LinkId) { return nullptr; };
   };
 
   /// What was sent, for the metrics.
   struct Counters {
-    uint64_t PushedParts = 0;
-    uint64_t SnapshotParts = 0;
+    uint64_t Parts = 0;
+    uint64_t Snapshots = 0;
     uint64_t Announces = 0;
     uint64_t Heartbeats = 0;
     uint64_t Pulls = 0;
     uint64_t Duplicates = 0;
-    uint64_t Stale = 0;
+    uint64_t StalePublishes = 0;
     uint64_t Damaged = 0;
   };
 
@@ -106,16 +106,16 @@
                TimePoint AskedAt);
 
   /// All that the platform said up to this revision was published here.
-  void complete(uint64_t Revision);
+  void markComplete(uint64_t Revision);
   /// Up to which revision of the platform nothing is missing from what is held;
   /// 0 where that is not known. It never falls: what is held only grows newer.
-  uint64_t completeAt() const { return this->CompleteAt; }
+  uint64_t completeRevision() const { return this->CompleteRevision; }
 
   /// Records an era of the platform that this node or another has seen.
-  void meetEra(uint64_t Era);
+  void recordEra(uint64_t Era);
   /// The earliest platform era known to any node; nothing if none is known. It
   /// never rises, and heartbeats spread it to all connected nodes.
-  std::optional<uint64_t> firstEra() const { return this->FirstEra; }
+  std::optional<uint64_t> earliestEra() const { return this->EarliestEra; }
 
   void linkUp(LinkId Link, const std::string &Peer, bool Eager, TimePoint Now);
   void linkDown(LinkId Link);
@@ -125,117 +125,120 @@
   /// they told us is of unknown age and what we told them may be old.
   void resync(TimePoint Now);
   /// Brings the next heartbeat on a link forward to At.
-  void hastenHeartbeat(LinkId Link, TimePoint At);
+  void sendHeartbeatBy(LinkId Link, TimePoint At);
 
   /// The newest document known, accepted or not; null if none.
-  DocumentPtr held(const std::string &Topic) const;
+  DocumentPtr storedDocument(const std::string &Topic) const;
   /// The newest document that Accept took; null if none.
-  DocumentPtr accepted(const std::string &Topic) const;
+  DocumentPtr acceptedDocument(const std::string &Topic) const;
   /// Time since the platform was last known to hold what we hold. Nullopt if
   /// it never was.
   std::optional<Millis> age(const std::string &Topic, TimePoint Now) const;
   const Counters &counters() const { return this->Counts; }
   /// Whether any neighbour has told what it holds.
-  bool heardFromAny() const;
+  bool hasNeighbourState() const;
   size_t linkCount() const { return this->Links.size(); }
 
 private:
-  struct Topic {
-    DocumentPtr Held;
+  struct TopicState {
+    DocumentPtr Stored;
     DocumentPtr Accepted;
-    std::deque<DocumentPtr> Bases;
+    std::deque<DocumentPtr> DeltaBases;
     std::optional<TimePoint> ConfirmedAt;
     // The pull under way, if any.
-    std::optional<TimePoint> PullAt;
+    std::optional<TimePoint> NextPullAt;
     LinkId PullFrom = 0;
     bool PullSent = false;
   };
 
-  struct Assembly {
+  struct PartialChangeSet {
     Stamp Base;
     Stamp Target;
-    uint32_t Count = 0;
-    uint32_t Next = 0;
+    uint32_t PartCount = 0;
+    uint32_t NextPart = 0;
     uint32_t RawSize = 0;
     std::string Bytes;
   };
 
   struct TopicOnLink {
-    Stamp Theirs;
+    Stamp NeighbourStamp;
     // Unset: as the link is.
     std::optional<bool> Lazy;
-    Assembly Incoming;
+    PartialChangeSet Incoming;
   };
 
   struct Link {
     std::string Peer;
     bool Eager = false;
-    TimePoint HeardAt;
-    TimePoint HeartbeatAt;
-    uint64_t SentDigest = 0;
-    std::vector<std::string> AgeOrder;
+    TimePoint LastReceivedAt;
+    TimePoint NextHeartbeatAt;
+    uint64_t LastSentDigest = 0;
+    std::vector<std::string> AgeTopics;
     std::map<std::string, TopicOnLink> Topics;
     // Heartbeats sent, the newest last; SentSeq is the newest one's.
-    std::deque<TimePoint> SentAt;
+    std::deque<TimePoint> HeartbeatsSentAt;
     uint32_t SentSeq = 0;
-    uint32_t HeardSeq = 0;
+    uint32_t ReceivedSeq = 0;
   };
 
   bool neighbourHasNewer(const std::string &Topic, const Stamp &Than) const;
-  bool holdsAllOf(const Link &On) const;
-  bool isOld(const Stamp &New, const DocumentPtr &Than) const;
-  void take(const std::string &Name, const DocumentPtr &Doc,
-            const std::string &From, std::optional<LinkId> Source,
-            TimePoint Now);
-  void spreadOn(const std::string &Name, std::optional<LinkId> Source,
-                TimePoint Now);
-  void judge(const std::string &Name, Topic &State, const DocumentPtr &Doc,
-             const std::string &From, TimePoint Now);
+  bool hasAllDocumentsOf(const Link &On) const;
+  bool isOutdated(const Stamp &New, const DocumentPtr &Than) const;
+  void storeDocument(const std::string &Name, const DocumentPtr &Doc,
+                     const std::string &From, std::optional<LinkId> Source,
+                     TimePoint Now);
+  void forwardDocument(const std::string &Name, std::optional<LinkId> Source,
+                       TimePoint Now);
+  void offerForAcceptance(const std::string &Name, TopicState &State,
+                          const DocumentPtr &Doc, const std::string &From,
+                          TimePoint Now);
   void sendDocument(LinkId To, const std::string &Name, const DocumentPtr &Doc,
                     const Stamp &Have, bool Asked, TimePoint Now);
-  bool spendSnapshot(size_t Bytes, TimePoint Now);
-  DocumentPtr findBase(const Topic &State, const Stamp &Have) const;
+  bool takeSnapshotBudget(size_t Bytes, TimePoint Now);
+  DocumentPtr findDeltaBase(const TopicState &State, const Stamp &Have) const;
   /// A change set as it goes over the links.
-  struct Packed {
+  struct PackedChangeSet {
     Stamp Base;
     Stamp Target;
     uint32_t RawSize = 0;
     std::string Bytes;
   };
-  const Packed &packed(const std::string &Name, const DocumentPtr &Base,
-                       const DocumentPtr &Target);
+  const PackedChangeSet &packOrReuse(const std::string &Name,
+                                     const DocumentPtr &Base,
+                                     const DocumentPtr &Target);
   /// Base is null for a snapshot.
   void sendParts(LinkId To, const std::string &Name, const DocumentPtr &Base,
                  const DocumentPtr &Target);
   void sendHeartbeat(LinkId To, Link &On, TimePoint Now);
-  void notice(LinkId From, const std::string &Name, const Stamp &Theirs,
-              TimePoint Now);
-  void startPull(LinkId From, const std::string &Name, TimePoint At);
-  void drivePull(const std::string &Name, Topic &State, TimePoint Now);
-  void sendPull(LinkId To, const std::string &Name, const Topic &State);
+  void onNeighbourStamp(LinkId From, const std::string &Name,
+                        const Stamp &Theirs, TimePoint Now);
+  void schedulePull(LinkId From, const std::string &Name, TimePoint At);
+  void advancePull(const std::string &Name, TopicState &State, TimePoint Now);
+  void sendPull(LinkId To, const std::string &Name, const TopicState &State);
   void onHeartbeat(LinkId From, Link &On, const wire::HeartbeatT &Beat,
                    TimePoint Now);
   void onPull(LinkId From, const wire::PullT &Pull, TimePoint Now);
   void onPart(LinkId From, Link &On, const wire::PartT &Part, TimePoint Now);
-  void finishAssembly(LinkId From, Link &On, const std::string &Name,
-                      const Assembly &Whole, TimePoint Now);
-  void freshen(const std::string &Name, const Stamp &Theirs, uint32_t AgeMs,
-               TimePoint ComposedAfter);
-  std::optional<LinkId> linkHolding(const Topic &State, const std::string &Name,
-                                    LinkId NotThis);
+  void applyChangeSet(LinkId From, Link &On, const std::string &Name,
+                      const PartialChangeSet &Whole, TimePoint Now);
+  void updateConfirmedAt(const std::string &Name, const Stamp &Theirs,
+                         uint32_t AgeMs, TimePoint ComposedAfter);
+  std::optional<LinkId> chooseLinkWithNewer(const TopicState &State,
+                                            const std::string &Name,
+                                            LinkId NotThis);
   uint64_t digest() const;
 
   Options Opts;
   Hooks Hook;
   std::mt19937_64 Random;
-  std::map<std::string, Topic> Topics;
+  std::map<std::string, TopicState> Topics;
   std::map<LinkId, Link> Links;
   Counters Counts;
   // What was sent last of each topic.
-  std::map<std::string, Packed> LastPacked;
-  uint64_t CompleteAt = 0;
-  std::optional<uint64_t> FirstEra;
-  TokenBucket Snapshots;
+  std::map<std::string, PackedChangeSet> LastPacked;
+  uint64_t CompleteRevision = 0;
+  std::optional<uint64_t> EarliestEra;
+  TokenBucket SnapshotBudget;
   std::optional<TimePoint> LastTick;
 };
 
