--- a/src/control/ReadPlan.cpp
+++ b/src/control/ReadPlan.cpp
@@ -1,57 +1,59 @@
 #include "control/ReadPlan.h"
 
-// Peers first: they answer from memory and there are many of them. A node turns
-// to the platform only when its peers had time to answer and it still lacks
-// what it needs.
+// A node asks its peers first: there are many of them and they answer from
+// memory. It reads the platform only if its peers had time to answer and it
+// still lacks what it needs.
 //
-// Where nobody has anything, somebody must begin without having to wait: those
-// who start ask their seeds, so a seed that is asked and has no list itself
-// knows that others wait for it. It needs no vote, and the platform sees a few
-// readings from a fleet that starts together, however large.
+// If no node has a list yet, at least one node must read at once instead of
+// waiting for peers. Starting nodes link to their seeds, so a seed without a
+// list that is asked by another node knows that others depend on it, and reads.
+// This needs no election, and a fleet of any size that starts at once causes
+// only a few reads.
 
 namespace hickorylift {
 
 namespace {
 
-// A node that has its lists and still no version after so many times PeersFirst
-// has neighbours that cannot help it.
-constexpr int VersionPatience = 3;
+// If a node has its lists but no version after this many times PeerWaitTime,
+// its neighbours do not have a version either.
+constexpr int VersionWaitFactor = 3;
 
-ReadPlan planStart(const ReadSituation &Of) {
-  if (Of.UsedAsSeed)
+ReadPlan planStart(const ReadSituation &Situation) {
+  if (Situation.UsedAsSeed)
     return {ReadDuty::ListForOthers, "taken for a seed"};
-  if (!Of.HasSeeds)
+  if (!Situation.HasSeeds)
     return {ReadDuty::List, "no seeds"};
-  if (Of.SinceStart >= Of.PeerWaitTime)
+  if (Situation.SinceStart >= Situation.PeerWaitTime)
     return {ReadDuty::List, "seeds did not tell"};
-  return {ReadDuty::None, "asks its seeds"};
+  return {ReadDuty::None, "waiting for its seeds"};
 }
 
 } // namespace
 
-ReadPlan planReading(const ReadSituation &Of) {
-  if (!Of.HasList)
-    return planStart(Of);
-  bool PeersHadTheirTurn =
-      Of.HasNeighbourState || Of.SinceStart >= Of.PeerWaitTime;
-  bool Reads = Of.IsReader && !Of.HasSeedLink;
-  if (PeersHadTheirTurn && Reads && Of.IsFirstReader)
+ReadPlan planReading(const ReadSituation &Situation) {
+  if (!Situation.HasList)
+    return planStart(Situation);
+  bool PeersHadTime = Situation.HasNeighbourState ||
+                      Situation.SinceStart >= Situation.PeerWaitTime;
+  bool Reads = Situation.IsReader && !Situation.HasSeedLink;
+  if (PeersHadTime && Reads && Situation.IsFirstReader)
     return {ReadDuty::Watch, "reader"};
-  if (PeersHadTheirTurn && Of.LostParent)
+  if (PeersHadTime && Situation.LostParent)
     return {ReadDuty::Watch, "no parent"};
-  if (PeersHadTheirTurn && Of.ReadersFellBehind)
+  if (PeersHadTime && Situation.ReadersFellBehind)
     return {ReadDuty::Watch, "readers fell behind"};
-  if (PeersHadTheirTurn && Reads)
+  if (PeersHadTime && Reads)
     return {ReadDuty::Spare, "spare reader"};
-  if (PeersHadTheirTurn && Of.ParentMayBeSlow)
+  if (PeersHadTime && Situation.ParentMayBeSlow)
     return {ReadDuty::Spare, "parent was lost"};
-  if (!Of.HasVersion && Of.SinceStart >= VersionPatience * Of.PeerWaitTime)
+  if (!Situation.HasVersion &&
+      Situation.SinceStart >= VersionWaitFactor * Situation.PeerWaitTime)
     return {ReadDuty::Once, "no version"};
-  return {ReadDuty::None, "told by others"};
+  return {ReadDuty::None, "updated by neighbours"};
 }
 
-const char *dutyName(ReadDuty Of) {
-  switch (Of) {
+const char *dutyName(ReadDuty Duty) {
+  switch (Duty) {
   case ReadDuty::None:
     return "none";
   case ReadDuty::List:
--- a/src/control/ReadPlan.h
+++ b/src/control/ReadPlan.h
@@ -4,55 +4,59 @@
 #include "base/Time.h"
 #include "reading/DocumentSource.h"
 
-// What a node is to read of the platform itself, and why. The platform's rate
-// is shared by the whole fleet, so a node reads only what nobody tells it.
+// planReading() decides what a node reads from the platform itself, and why.
+// All nodes of the fleet share the platform's request rate, so a node reads
+// only what it does not receive from its neighbours.
 //
-//   ReadSituation Now;
-//   Now.HasList = true;
-//   Now.IsOrphan = true;
-//   ReadPlan Plan = planReading(Now);       // watch, "no parent"
+//   ReadSituation Situation;
+//   Situation.HasList = true;
+//   Situation.LostParent = true;
+//   ReadPlan Plan = planReading(Situation);   // Watch, "no parent"
 
 namespace hickorylift {
 
-/// What a node knows when it decides whether to read.
+/// The state of a node from which its read duty is derived.
 struct ReadSituation {
-  /// It holds a list of its data centre, be it empty.
+  /// The node has the instance list of its data centre, which may be empty.
   bool HasList = false;
-  /// It was given seeds to ask.
+  /// Seeds are configured.
   bool HasSeeds = false;
-  /// Somebody who has no list has turned to it.
+  /// A node that has no list yet opened a link to this node as its seed.
   bool UsedAsSeed = false;
-  /// It is linked to a seed and knows no neighbours yet.
+  /// The node is linked to a seed because it does not know any neighbours yet.
   bool HasSeedLink = false;
-  /// Some neighbour has told what it holds.
+  /// At least one neighbour has sent the versions of its documents.
   bool HasNeighbourState = false;
-  /// It is among its data centre's readers, or so few are listed that all read.
+  /// The node is a reader of its data centre, or the fleet is so small that all
+  /// nodes read.
   bool IsReader = false;
-  /// It is the first of them, or all read.
+  /// The node is the first reader of its data centre, or all nodes read.
   bool IsFirstReader = false;
-  /// It has had no link to its parent for a while.
+  /// The node has had no link to its parent for some time.
   bool LostParent = false;
-  /// It has a parent again after it had none, and that one may be slow.
+  /// The node recently regained a parent link, and that parent may be slow.
   bool ParentMayBeSlow = false;
-  /// What it holds was not confirmed for so long that the readers must be gone.
+  /// The node's documents have not been confirmed for so long that the readers
+  /// must have failed.
   bool ReadersFellBehind = false;
-  /// A version is in force.
+  /// A configuration version is active.
   bool HasVersion = false;
-  /// Since its start, and how long peers are given to answer first.
+  /// Time since the node started.
   Millis SinceStart{0};
+  /// How long peers have to answer before the node reads the platform.
   Millis PeerWaitTime{0};
 };
 
 struct ReadPlan {
   ReadDuty Duty = ReadDuty::None;
-  /// For the log.
+  /// Written to the audit trail.
   const char *Reason = "";
 };
 
-ReadPlan planReading(const ReadSituation &Of);
+ReadPlan planReading(const ReadSituation &Situation);
 
-/// The duty's name in the log.
-const char *dutyName(ReadDuty Of);
+/// The name of a duty in the audit trail.
+const char *dutyName(ReadDuty Duty);
 
 } // namespace hickorylift
 
--- a/src/control/ReadPlanTest.cpp
+++ b/src/control/ReadPlanTest.cpp
@@ -9,91 +9,115 @@
 namespace {
 
 struct PlanCase {
-  const char *What;
-  void (*Differs)(ReadSituation &);
-  const char *Duty;
+  const char *Name;
+  /// Changes the default situation into that of the case.
+  void (*Apply)(ReadSituation &);
+  const char *ExpectedDuty;
 };
-std::ostream &operator<<(std::ostream &To, const PlanCase &Of) {
-  return To << Of.What;
+std::ostream &operator<<(std::ostream &Stream, const PlanCase &Case) {
+  return Stream << Case.Name;
 }
 
-/// A node that has started just now and was given seeds.
-const PlanCase Starts[] = {
-    {"asks its seeds", [](ReadSituation &) {}, "none"},
-    {"has no seeds", [](ReadSituation &Of) { Of.HasSeeds = false; }, "list"},
-    {"others have turned to it",
-     [](ReadSituation &Of) { Of.UsedAsSeed = true; }, "list"},
+/// Variations of a node that has just started and has seeds.
+const PlanCase StartCases[] = {
+    {"is waiting for its seeds", [](ReadSituation &) {}, "none"},
+    {"has no seeds",
+     [](ReadSituation &Situation) { Situation.HasSeeds = false; }, "list"},
+    {"is used as a seed by other nodes",
+     [](ReadSituation &Situation) { Situation.UsedAsSeed = true; }, "list"},
     {"its seeds did not answer",
-     [](ReadSituation &Of) { Of.SinceStart = Of.PeerWaitTime; }, "list"},
-    {"takes itself for a reader, for its list is empty",
-     [](ReadSituation &Of) { Of.IsReader = Of.IsFirstReader = true; }, "none"},
+     [](ReadSituation &Situation) {
+       Situation.SinceStart = Situation.PeerWaitTime;
+     },
+     "list"},
+    {"counts itself as a reader because its list is empty",
+     [](ReadSituation &Situation) {
+       Situation.IsReader = Situation.IsFirstReader = true;
+     },
+     "none"},
 };
 
-/// A node in the midst of a large fleet, with lists and a version.
-const PlanCase Runs[] = {
-    {"is told by others", [](ReadSituation &) {}, "none"},
+/// Variations of a node in a large fleet that has lists and a version.
+const PlanCase RunningCases[] = {
+    {"is updated by its neighbours", [](ReadSituation &) {}, "none"},
     {"the first reader",
-     [](ReadSituation &Of) { Of.IsReader = Of.IsFirstReader = true; }, "watch"},
-    {"the second reader", [](ReadSituation &Of) { Of.IsReader = true; },
-     "spare"},
+     [](ReadSituation &Situation) {
+       Situation.IsReader = Situation.IsFirstReader = true;
+     },
+     "watch"},
+    {"the second reader",
+     [](ReadSituation &Situation) { Situation.IsReader = true; }, "spare"},
     {"the second reader, without a parent",
-     [](ReadSituation &Of) { Of.IsReader = Of.LostParent = true; }, "watch"},
-    {"has lost its parent", [](ReadSituation &Of) { Of.LostParent = true; },
+     [](ReadSituation &Situation) {
+       Situation.IsReader = Situation.LostParent = true;
+     },
      "watch"},
+    {"has lost its parent",
+     [](ReadSituation &Situation) { Situation.LostParent = true; }, "watch"},
     {"has a parent again, which may be slow",
-     [](ReadSituation &Of) { Of.ParentMayBeSlow = true; }, "spare"},
-    {"the readers are gone in a way that nobody sees",
-     [](ReadSituation &Of) { Of.ReadersFellBehind = true; }, "watch"},
-    {"its data centre is empty so far, and its seed tells it",
-     [](ReadSituation &Of) {
-       Of.IsReader = Of.IsFirstReader = Of.HasSeedLink = true;
+     [](ReadSituation &Situation) { Situation.ParentMayBeSlow = true; },
+     "spare"},
+    {"the readers failed without any node detecting it",
+     [](ReadSituation &Situation) { Situation.ReadersFellBehind = true; },
+     "watch"},
+    {"its data centre has no instances yet, and its seed updates it",
+     [](ReadSituation &Situation) {
+       Situation.IsReader = Situation.IsFirstReader = Situation.HasSeedLink =
+           true;
      },
      "none"},
-    {"a reader that has just started and heard nobody",
-     [](ReadSituation &Of) {
-       Of.IsReader = Of.IsFirstReader = true;
-       Of.HasNeighbourState = false;
-       Of.SinceStart = Millis(0);
+    {"a reader that has just started and has no neighbour's state yet",
+     [](ReadSituation &Situation) {
+       Situation.IsReader = Situation.IsFirstReader = true;
+       Situation.HasNeighbourState = false;
+       Situation.SinceStart = Millis(0);
      },
      "none"},
-    {"has no version after long",
-     [](ReadSituation &Of) {
-       Of.HasVersion = false;
-       Of.SinceStart = 3 * Of.PeerWaitTime;
+    {"still has no version after a long time",
+     [](ReadSituation &Situation) {
+       Situation.HasVersion = false;
+       Situation.SinceStart = 3 * Situation.PeerWaitTime;
      },
      "once"},
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(ReadPlans)
+BOOST_AUTO_TEST_SUITE(ReadPlanTests)
 
-// Callers are refused for as long as a node knows nothing, and a platform that
-// is asked too much refuses the whole fleet.
-BOOST_DATA_TEST_CASE(StartingNodesReadWhereNobodyElseDoes,
-                     boost::unit_test::data::make(Starts), Row) {
-  ReadSituation At;
-  At.HasSeeds = true;
-  At.PeerWaitTime = Millis(800);
-  Row.Differs(At);
-  BOOST_TEST(dutyName(planReading(At).Duty) == std::string(Row.Duty));
+// Guards against a starting node that never reads, which refuses its callers
+// until it has a configuration, and against a fleet that reads so much at start
+// that the platform refuses all of it.
+BOOST_DATA_TEST_CASE(StartingNodeReadsOnlyIfNoPeerCanAnswer,
+                     boost::unit_test::data::make(StartCases), Case) {
+  ReadSituation Situation;
+  Situation.HasSeeds = true;
+  Situation.PeerWaitTime = Millis(800);
+  Case.Apply(Situation);
+  BOOST_TEST(dutyName(planReading(Situation).Duty) ==
+             std::string(Case.ExpectedDuty));
 }
 
-BOOST_DATA_TEST_CASE(RunningNodesReadWhatNobodyTells,
-                     boost::unit_test::data::make(Runs), Row) {
-  ReadSituation At;
-  At.HasSeeds = At.HasList = At.HasNeighbourState = At.HasVersion = true;
-  At.PeerWaitTime = Millis(800);
-  At.SinceStart = Millis(10000);
-  Row.Differs(At);
-  BOOST_TEST(dutyName(planReading(At).Duty) == std::string(Row.Duty));
+// Guards against running nodes that read what their neighbours send them
+// anyway, and against nodes that no neighbour updates and that do not read.
+BOOST_DATA_TEST_CASE(RunningNodeReadsOnlyWhatNeighboursDoNotSend,
+                     boost::unit_test::data::make(RunningCases), Case) {
+  ReadSituation Situation;
+  Situation.HasSeeds = Situation.HasList = Situation.HasNeighbourState =
+      Situation.HasVersion = true;
+  Situation.PeerWaitTime = Millis(800);
+  Situation.SinceStart = Millis(10000);
+  Case.Apply(Situation);
+  BOOST_TEST(dutyName(planReading(Situation).Duty) ==
+             std::string(Case.ExpectedDuty));
 }
 
-// Those who wait for a seed must not wait for its jitter as well.
-BOOST_AUTO_TEST_CASE(SeedsReadAtOnce) {
-  ReadSituation At;
-  At.HasSeeds = At.UsedAsSeed = true;
-  BOOST_TEST((planReading(At).Duty == ReadDuty::ListForOthers));
+// Guards against a seed that delays its read by the start jitter: the nodes
+// that wait for the seed would wait for its jitter as well.
+BOOST_AUTO_TEST_CASE(SeedReadsWithoutJitter) {
+  ReadSituation Situation;
+  Situation.HasSeeds = Situation.UsedAsSeed = true;
+  BOOST_TEST((planReading(Situation).Duty == ReadDuty::ListForOthers));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
