--- a/src/control/ControlLinks.cpp
+++ b/src/control/ControlLinks.cpp
@@ -13,11 +13,11 @@
 
 constexpr unsigned MaxBackoffShift = 10;
 
-/// The kind of a link as the other end names it. What a later build may add is
-/// a link that announces.
-Tie tieOf(uint8_t Named) {
-  bool Known = Named <= static_cast<uint8_t>(Tie::Seed);
-  return Known ? static_cast<Tie>(Named) : Tie::Backup;
+/// Reads the kind of a link as sent by the peer that dialled it. A kind that a
+/// later build adds is treated as a link on which documents are only announced.
+Tie parseTie(uint8_t Value) {
+  bool Known = Value <= static_cast<uint8_t>(Tie::Seed);
+  return Known ? static_cast<Tie>(Value) : Tie::Backup;
 }
 
 wire::SpreadFrameT helloFrame(const ControlPlane::Options &Opts, Tie Kind) {
@@ -47,16 +47,16 @@
   this->NeedsRetarget |= this->Avoided.erase(Name) != 0;
 }
 
-// Neighbours that are still dialled are avoided until they answer and, if
-// condemned for silence, AvoidSilentFor has passed. The others are not dialled
-// and are avoided for AvoidFor.
+// Neighbours that are still dialled are avoided until they answer and, if their
+// link was declared dead, AvoidUnresponsiveDuration has passed. The others are
+// not dialled and are avoided for AvoidDuration.
 void ControlPlane::expireAvoided(TimePoint Now) {
   std::vector<std::string> Expired;
   for (const auto &[Name, Since] : this->AvoidedSince) {
-    auto To = this->Targets.find(Name);
-    bool Dialled = To != this->Targets.end();
-    bool Linked = Dialled && To->second.Link &&
-                  this->Peers.at(*To->second.Link).HelloReceived;
+    auto Found = this->Targets.find(Name);
+    bool Dialled = Found != this->Targets.end();
+    bool Linked = Dialled && Found->second.Link &&
+                  this->Peers.at(*Found->second.Link).HelloReceived;
     auto Until = this->AvoidUnresponsiveUntil.find(Name);
     bool MustAvoid =
         Until != this->AvoidUnresponsiveUntil.end() && Now < Until->second;
@@ -71,23 +71,24 @@
 void ControlPlane::retarget(TimePoint Now) {
   std::map<std::string, Target> Wanted;
   std::vector<LinkId> Outdated;
-  auto Want = [&](const Neighbour &One) {
-    auto [At, New] = Wanted.try_emplace(One.Who->Name);
+  auto AddTarget = [&](const Neighbour &Node) {
+    auto [Added, New] = Wanted.try_emplace(Node.Who->Name);
     if (!New)
       return;
-    At->second.Address = One.Who->Node;
-    At->second.Kind = One.Kind;
-    At->second.NextDial = Now;
+    Added->second.Address = Node.Who->Node;
+    Added->second.Kind = Node.Kind;
+    Added->second.NextDial = Now;
   };
-  for (const Neighbour &One : this->Fleet.neighbours(this->Avoided))
-    Want(One);
-  // Go on trying those whose place others have taken.
-  for (const Neighbour &One : this->Fleet.neighbours())
-    if (this->Avoided.count(One.Who->Name))
-      Want(One);
-  // A node that knows no neighbour, or is the only one listed in its data
-  // centre, keeps to its seeds: they may know more. So does one that has no
-  // version yet: those above it may have none either.
+  for (const Neighbour &Node : this->Fleet.neighbours(this->Avoided))
+    AddTarget(Node);
+  // Avoided neighbours are still dialled, so that they are used again once they
+  // answer.
+  for (const Neighbour &Node : this->Fleet.neighbours())
+    if (this->Avoided.count(Node.Who->Name))
+      AddTarget(Node);
+  // A node that knows no neighbour and is alone in its data centre's list stays
+  // linked to its seeds, as they may have a newer list. So does a node without
+  // a version, as its ancestors in the tree may not have one either.
   bool Alone = this->Fleet.size(this->Opts.DataCentre) < 2;
   if ((Wanted.empty() && Alone) || !this->ActiveConfig)
     this->addSeedTargets(Wanted, Now);
@@ -111,14 +112,14 @@
 // Closes an outdated link, or keeps it open until the new parent is linked.
 // Closing it earlier would leave the node without versions, so it would read
 // the platform, and on a slow network link reading a large configuration delays
-// the new parent's greeting.
+// the new parent's Hello frame.
 void ControlPlane::closeOrKeepLink(LinkId Link, TimePoint Now) {
-  const Peer &To = this->Peers.at(Link);
-  bool Usable = To.HelloReceived && To.Kind != Tie::Seed;
+  const Peer &Former = this->Peers.at(Link);
+  bool Usable = Former.HelloReceived && Former.Kind != Tie::Seed;
   if (!Usable || !this->isAwaitingParentLink())
     return this->closeLink(Link, Now);
   this->FormerLinks.insert(Link);
-  if (To.Kind != Tie::Tree || this->FormerParentLink)
+  if (Former.Kind != Tie::Tree || this->FormerParentLink)
     return;
   this->FormerParentLink = Link;
   this->FormerParentValidUntil = Now + this->Opts.FormerParentTimeout;
@@ -131,29 +132,31 @@
     this->closeLink(Link, Now);
 }
 
+// Adds the seeds as targets, to be dialled one after the other in an order that
+// differs from node to node.
 void ControlPlane::addSeedTargets(std::map<std::string, Target> &Wanted,
                                   TimePoint Now) const {
   std::map<uint64_t, std::string> Order;
   for (const auto &[Name, Address] : this->Opts.Seeds)
     Order[rendezvousScore(this->Opts.Self, Name)] = Name;
-  TimePoint Dial = Now;
+  TimePoint NextDial = Now;
   for (const auto &[Score, Name] : Order) {
-    auto [At, New] = Wanted.try_emplace(Name);
+    auto [Added, New] = Wanted.try_emplace(Name);
     if (!New)
       continue;
-    At->second.Address = this->Opts.Seeds.at(Name);
-    At->second.Kind = Tie::Seed;
-    At->second.NextDial = Dial;
-    Dial += this->Opts.SeedDialInterval;
+    Added->second.Address = this->Opts.Seeds.at(Name);
+    Added->second.Kind = Tie::Seed;
+    Added->second.NextDial = NextDial;
+    NextDial += this->Opts.SeedDialInterval;
   }
 }
 
 void ControlPlane::dialTargets(TimePoint Now) {
-  for (auto &[Name, To] : this->Targets) {
-    if (To.Link || To.Dialling || Now < To.NextDial)
+  for (auto &[Name, DialTarget] : this->Targets) {
+    if (DialTarget.Link || DialTarget.Dialling || Now < DialTarget.NextDial)
       continue;
-    To.Dialling = true;
-    this->Hook.Dial(Name, To.Address);
+    DialTarget.Dialling = true;
+    this->Hook.Dial(Name, DialTarget.Address);
   }
 }
 
@@ -161,15 +164,16 @@
   auto Found = this->Targets.find(Name);
   if (Found == this->Targets.end())
     return;
-  Target &To = Found->second;
-  To.Dialling = false;
-  Millis Longest = std::min(this->Opts.MaxRedialDelay,
-                            this->Opts.MinRedialDelay *
-                                (1 << std::min(To.Failures, MaxBackoffShift)));
-  if (++To.Failures >= this->Opts.AvoidAfterFailures)
+  Target &Failed = Found->second;
+  Failed.Dialling = false;
+  Millis MaxDelay =
+      std::min(this->Opts.MaxRedialDelay,
+               this->Opts.MinRedialDelay *
+                   (1 << std::min(Failed.Failures, MaxBackoffShift)));
+  if (++Failed.Failures >= this->Opts.AvoidAfterFailures)
     this->avoid(Name, Now);
-  To.NextDial =
-      Now + Longest / 2 + Millis(this->Random() % (Longest.count() / 2 + 1));
+  Failed.NextDial =
+      Now + MaxDelay / 2 + Millis(this->Random() % (MaxDelay.count() / 2 + 1));
 }
 
 void ControlPlane::linkOpened(LinkId Link, const std::string &Dialled,
@@ -202,7 +206,7 @@
   From.HelloReceived = true;
   From.Name = Hello.node;
   if (From.DialledName.empty()) {
-    From.Kind = tieOf(Hello.tie);
+    From.Kind = parseTie(Hello.tie);
     this->sendHello(Link, From);
     if (From.Kind == Tie::Seed)
       this->onSeedRequest(Now);
@@ -213,9 +217,9 @@
       this->stopAvoiding(From.DialledName);
   }
   this->Spread.linkUp(Link, From.Name, From.Kind == Tie::Tree, Now);
-  if (std::optional<wire::SpreadFrameT> Known =
+  if (std::optional<wire::SpreadFrameT> Records =
           this->RequestQuarantine.all(Now))
-    this->Hook.Send(Link, encodeFrame(*Known));
+    this->Hook.Send(Link, encodeFrame(*Records));
 }
 
 void ControlPlane::closeLink(LinkId Link, TimePoint Now) {
@@ -228,17 +232,17 @@
   auto Found = this->Peers.find(Link);
   if (Found == this->Peers.end())
     return;
-  std::string Target = Found->second.DialledName;
+  std::string DialledName = Found->second.DialledName;
   this->Peers.erase(Found);
   this->FormerLinks.erase(Link);
   if (this->FormerParentLink == Link)
     this->FormerParentLink.reset();
   this->Spread.linkDown(Link);
   this->View.removeChild(Link);
-  auto To = this->Targets.find(Target);
-  if (To != this->Targets.end() && To->second.Link == Link) {
-    To->second.Link.reset();
-    this->dialFailed(Target, Now);
+  auto Dialled = this->Targets.find(DialledName);
+  if (Dialled != this->Targets.end() && Dialled->second.Link == Link) {
+    Dialled->second.Link.reset();
+    this->dialFailed(DialledName, Now);
   }
 }
 
--- a/src/control/ControlPlane.cpp
+++ b/src/control/ControlPlane.cpp
@@ -4,13 +4,20 @@
 
 #include <algorithm>
 
+// Connects Spreader, Membership, FleetView, Quarantine and the document source
+// of one node through their hooks. Each tick derives the node's read duty with
+// planReading(), so exactly the nodes that cannot get documents from their
+// neighbours read the platform. A received document is activated only if it
+// compiles; otherwise the active one stays. Link management is in
+// ControlLinks.cpp.
+
 namespace hickorylift {
 
 namespace {
 
 constexpr Millis ExchangeInterval{2000};
-// Requests that one line about a crash names.
-constexpr size_t MaxNamed = 16;
+// Maximum number of requests named in one audit event about a crash.
+constexpr size_t MaxNamedRequests = 16;
 
 } // namespace
 
@@ -27,72 +34,74 @@
       Random(this->Opts.Seed + 2) {}
 
 Spreader::Hooks ControlPlane::spreadHooks() {
-  Spreader::Hooks Out;
-  Out.Send = [this](LinkId To, const wire::SpreadFrameT &Frame) {
+  Spreader::Hooks Hooks;
+  Hooks.Send = [this](LinkId To, const wire::SpreadFrameT &Frame) {
     this->Hook.Send(To, encodeFrame(Frame));
   };
-  Out.Accept = [this](const Spreader::ReceivedDocument &Arrived,
-                      TimePoint Now) { return this->accept(Arrived, Now); };
-  Out.CloseDeadLink = [this](LinkId Link, const Error &Why) {
+  Hooks.Accept = [this](const Spreader::ReceivedDocument &Received,
+                        TimePoint Now) { return this->accept(Received, Now); };
+  Hooks.CloseDeadLink = [this](LinkId Link, const Error &Reason) {
     this->Trail.add(this->NowForHooks, "link-condemned", this->Peers[Link].Name,
-                    "heartbeat", Why.Detail);
-    std::string Target = this->Peers[Link].DialledName;
+                    "heartbeat", Reason.Detail);
+    std::string DialledName = this->Peers[Link].DialledName;
     this->closeLink(Link, this->NowForHooks);
-    if (!this->Targets.count(Target))
+    if (!this->Targets.count(DialledName))
       return;
-    this->AvoidUnresponsiveUntil[Target] =
+    this->AvoidUnresponsiveUntil[DialledName] =
         this->NowForHooks + this->Opts.AvoidUnresponsiveDuration;
-    this->avoid(Target, this->NowForHooks);
+    this->avoid(DialledName, this->NowForHooks);
   };
-  Out.MakeReport = [this](LinkId Link) -> std::unique_ptr<wire::FleetReportT> {
+  Hooks.MakeReport =
+      [this](LinkId Link) -> std::unique_ptr<wire::FleetReportT> {
     if (this->parentLink() != Link)
       return nullptr;
     return std::make_unique<wire::FleetReportT>(
         this->View.report(this->NowForHooks));
   };
-  return Out;
+  return Hooks;
 }
 
 SourceHooks ControlPlane::sourceHooks() {
-  SourceHooks Out;
-  Out.Publish = [this](const std::string &Topic, const DocumentPtr &Doc,
-                       TimePoint Now) {
+  SourceHooks Hooks;
+  Hooks.Publish = [this](const std::string &Topic, const DocumentPtr &Doc,
+                         TimePoint Now) {
     this->NowForHooks = Now;
-    DocumentPtr Held = this->Spread.storedDocument(Topic);
-    if (!this->Spread.publish(Topic, Doc, Now) && Held &&
-        Held->stamp() != Doc->stamp())
+    DocumentPtr Stored = this->Spread.storedDocument(Topic);
+    if (!this->Spread.publish(Topic, Doc, Now) && Stored &&
+        Stored->stamp() != Doc->stamp())
       this->Trail.add(Now, "version-stale", Topic + " " + Doc->stamp().text(),
-                      "platform", "kept " + Held->stamp().text());
+                      "platform", "kept " + Stored->stamp().text());
   };
-  Out.Confirm = [this](const std::string &Topic, uint64_t Version,
-                       uint64_t Revision, TimePoint AskedAt) {
+  Hooks.Confirm = [this](const std::string &Topic, uint64_t Version,
+                         uint64_t Revision, TimePoint AskedAt) {
     this->Spread.confirm(Topic, Version, Revision, AskedAt);
   };
-  Out.Held = [this](const std::string &Topic) {
+  Hooks.Held = [this](const std::string &Topic) {
     return this->Spread.storedDocument(Topic);
   };
-  Out.Complete = [this](uint64_t Revision) {
+  Hooks.Complete = [this](uint64_t Revision) {
     this->Spread.markComplete(Revision);
   };
-  Out.CompleteAt = [this] { return this->Spread.completeRevision(); };
-  Out.Failed = [this](const Error &Why, TimePoint Now) {
-    // A long outage is one event, not one for each attempt.
-    if (Why.text() == this->LastReaderError)
+  Hooks.CompleteAt = [this] { return this->Spread.completeRevision(); };
+  Hooks.Failed = [this](const Error &Reason, TimePoint Now) {
+    // Failures with the same error are recorded once, so that a long outage is
+    // one event instead of one per attempt.
+    if (Reason.text() == this->LastReaderError)
       return;
-    this->LastReaderError = Why.text();
-    this->Trail.add(Now, "platform-read", Why.Step, Why.Peer,
-                    Why.Code.message() + ": " + Why.Detail);
+    this->LastReaderError = Reason.text();
+    this->Trail.add(Now, "platform-read", Reason.Step, Reason.Peer,
+                    Reason.Code.message() + ": " + Reason.Detail);
   };
-  Out.Unreadable = [this](const Error &Why, TimePoint Now) {
+  Hooks.Unreadable = [this](const Error &Reason, TimePoint Now) {
     ++this->UnreadableItems;
     if (this->UnreadableLog.take(Now))
-      this->Trail.add(Now, "item-unreadable", Why.Detail, Why.Peer,
+      this->Trail.add(Now, "item-unreadable", Reason.Detail, Reason.Peer,
                       "names no upstream");
   };
-  Out.MetEra = [this](uint64_t Era) { this->Spread.recordEra(Era); };
-  Out.FirstEra = [this] { return this->Spread.earliestEra(); };
+  Hooks.MetEra = [this](uint64_t Era) { this->Spread.recordEra(Era); };
+  Hooks.FirstEra = [this] { return this->Spread.earliestEra(); };
   // A source may have several readers, each of which reports the same restore.
-  Out.Restored = [this](uint64_t From, uint64_t To, TimePoint Now) {
+  Hooks.Restored = [this](uint64_t From, uint64_t To, TimePoint Now) {
     if (this->PlatformEra && To <= *this->PlatformEra)
       return;
     this->PlatformEra = To;
@@ -100,41 +109,43 @@
     this->Trail.add(Now, "platform-restored", "era " + std::to_string(To),
                     "platform", "was era " + std::to_string(From));
   };
-  Out.Recovered = [this](TimePoint Now) {
+  Hooks.Recovered = [this](TimePoint Now) {
     this->LastReaderError.clear();
     this->Trail.add(Now, "platform-back", "", "platform", "answers again");
   };
-  return Out;
+  return Hooks;
 }
 
-// What is known of requests that crash upstreams goes at once along every link,
-// trees and ring alike: the next attempt may come in anywhere.
+// Records of requests that crash upstreams are sent at once along every link,
+// of the trees and of the ring alike: the next attempt of such a request may
+// arrive at any node.
 Quarantine::Hooks ControlPlane::quarantineHooks() {
-  Quarantine::Hooks Out;
-  Out.Tell = [this](const wire::SpreadFrameT &Frame,
-                    std::optional<LinkId> ButLink) {
+  Quarantine::Hooks Hooks;
+  Hooks.Tell = [this](const wire::SpreadFrameT &Frame,
+                      std::optional<LinkId> ExceptLink) {
     std::string Bytes = encodeFrame(Frame);
     for (const auto &[Link, To] : this->Peers)
-      if (To.HelloReceived && Link != ButLink)
+      if (To.HelloReceived && Link != ExceptLink)
         this->Hook.Send(Link, Bytes);
   };
-  Out.Changed = [this](const Quarantine::Event &Of, TimePoint Now) {
-    std::string Outcome = Of.Of->Request;
-    if (Of.For.count() > 0)
-      Outcome += " crashes=" + std::to_string(Of.Of->counting().size()) +
-                 " for_ms=" + std::to_string(Of.For.count());
-    this->Trail.add(Now, Of.What, Of.Of->Of.text(), Of.Source, Outcome);
+  Hooks.Changed = [this](const Quarantine::Event &Event, TimePoint Now) {
+    std::string Outcome = Event.Of->Request;
+    if (Event.For.count() > 0)
+      Outcome += " crashes=" + std::to_string(Event.Of->counting().size()) +
+                 " for_ms=" + std::to_string(Event.For.count());
+    this->Trail.add(Now, Event.What, Event.Of->Of.text(), Event.Source,
+                    Outcome);
   };
-  return Out;
+  return Hooks;
 }
 
 void ControlPlane::upstreamCrashed(const std::vector<Quarantine::Ran> &Running,
                                    TimePoint Now) {
-  std::string Prints;
-  for (size_t I = 0; I < std::min(Running.size(), MaxNamed); ++I)
-    Prints += " " + Running[I].Of.text();
+  std::string Fingerprints;
+  for (size_t I = 0; I < std::min(Running.size(), MaxNamedRequests); ++I)
+    Fingerprints += " " + Running[I].Of.text();
   this->Trail.add(Now, "upstream-crashed", this->Opts.Self, "gate",
-                  "suspects=" + std::to_string(Running.size()) + Prints);
+                  "suspects=" + std::to_string(Running.size()) + Fingerprints);
   this->RequestQuarantine.upstreamCrashed(Running, Now);
 }
 
@@ -142,8 +153,8 @@
   this->NowForHooks = Now;
   if (!this->StartedAt)
     this->StartedAt = Now;
-  // Here and not when a list arrives: the arrival is handled within a link
-  // that this may close.
+  // Links are retargeted here and not on the arrival of a list, because the
+  // arrival is handled within a link that retargeting may close.
   this->expireAvoided(Now);
   if (std::exchange(this->NeedsRetarget, false))
     this->retarget(Now);
@@ -154,7 +165,8 @@
                     std::to_string(toMillis(Now - *this->LastTick).count()) +
                         "ms",
                     "clock", "resynchronising");
-    // What the platform answered before the pause is of unknown age.
+    // Stop reading for one tick: what the platform answered before the process
+    // pause is of unknown age.
     this->Source->tick(Now, ReadDuty::None);
   }
   this->LastTick = Now;
@@ -169,24 +181,26 @@
 }
 
 ReadSituation ControlPlane::readSituation(TimePoint Now) {
-  ReadSituation Out;
-  Out.HasList = this->hasList();
-  Out.HasSeeds = !this->Opts.Seeds.empty();
-  Out.UsedAsSeed = this->UsedAsSeed;
-  Out.HasSeedLink = this->hasSeedLink();
-  Out.HasNeighbourState = this->Spread.hasNeighbourState();
-  Out.IsReader = this->Fleet.isReader(this->Avoided);
-  // In a small fleet nodes do not rely on each other for what they can read.
-  Out.IsFirstReader =
+  ReadSituation Situation;
+  Situation.HasList = this->hasList();
+  Situation.HasSeeds = !this->Opts.Seeds.empty();
+  Situation.UsedAsSeed = this->UsedAsSeed;
+  Situation.HasSeedLink = this->hasSeedLink();
+  Situation.HasNeighbourState = this->Spread.hasNeighbourState();
+  Situation.IsReader = this->Fleet.isReader(this->Avoided);
+  // In a small fleet every node reads the platform itself instead of relying on
+  // the other nodes.
+  Situation.IsFirstReader =
       this->Fleet.allRead() || this->Fleet.readerRank(this->Avoided) == 0;
-  // Not before there is a list: until then nobody can have a parent.
-  Out.LostParent = Out.HasList && this->hasLostParent(Now);
-  Out.ParentMayBeSlow = this->parentMayBeSlow(Now);
-  Out.ReadersFellBehind = Out.HasList && this->shouldTakeOverReading(Now);
-  Out.HasVersion = this->ActiveConfig != nullptr;
-  Out.SinceStart = toMillis(Now - *this->StartedAt);
-  Out.PeerWaitTime = this->Opts.PeerWaitTime;
-  return Out;
+  // Without a list no node can have a parent.
+  Situation.LostParent = Situation.HasList && this->hasLostParent(Now);
+  Situation.ParentMayBeSlow = this->parentMayBeSlow(Now);
+  Situation.ReadersFellBehind =
+      Situation.HasList && this->shouldTakeOverReading(Now);
+  Situation.HasVersion = this->ActiveConfig != nullptr;
+  Situation.SinceStart = toMillis(Now - *this->StartedAt);
+  Situation.PeerWaitTime = this->Opts.PeerWaitTime;
+  return Situation;
 }
 
 void ControlPlane::updateReadDuty(TimePoint Now) {
@@ -203,19 +217,21 @@
          nullptr;
 }
 
-// A node keeps to its seeds while the list names nobody: upstreams are listed a
-// second or more after their nodes start. The seeds read for it.
+// A node stays linked to its seeds while the list of its data centre is empty:
+// upstreams are listed a second or more after their nodes start. Meanwhile the
+// seeds read the platform on its behalf.
 bool ControlPlane::hasSeedLink() const {
   return !this->UsedAsSeed &&
-         std::any_of(
-             this->Peers.begin(), this->Peers.end(), [](const auto &One) {
-               return One.second.HelloReceived && One.second.Kind == Tie::Seed;
-             });
+         std::any_of(this->Peers.begin(), this->Peers.end(),
+                     [](const auto &Linked) {
+                       return Linked.second.HelloReceived &&
+                              Linked.second.Kind == Tie::Seed;
+                     });
 }
 
 bool ControlPlane::hasParentLink() const {
-  std::optional<LinkId> Up = this->parentLink();
-  return Up && this->Peers.at(*Up).HelloReceived;
+  std::optional<LinkId> Link = this->parentLink();
+  return Link && this->Peers.at(*Link).HelloReceived;
 }
 
 // Records whether the tree assigned another parent or the link state changed.
@@ -232,8 +248,8 @@
   this->AuditedParentLinked = Linked;
 }
 
-// Whoever stands at the top of what is left of the tree reads, and those below
-// it have what it reads.
+// A node that loses its parent becomes the top of its remaining subtree. It
+// reads the platform, and the nodes below it receive what it reads.
 bool ControlPlane::hasLostParent(TimePoint Now) {
   if (this->Opts.LostParentReadDelay.count() == 0)
     return false;
@@ -243,35 +259,38 @@
       this->hasParentLink() || this->hasSeedLink() || FormerParentValid;
   if (!this->ParentLastLinkedAt || Linked)
     this->ParentLastLinkedAt = Now;
-  bool Orphan =
-      Now - *this->ParentLastLinkedAt >= this->Opts.LostParentReadDelay;
-  if (Orphan)
+  bool Lost = Now - *this->ParentLastLinkedAt >= this->Opts.LostParentReadDelay;
+  if (Lost)
     this->KeepReadingUntil = Now + this->Opts.RegainedParentReadTime;
-  return Orphan;
+  return Lost;
 }
 
 bool ControlPlane::parentMayBeSlow(TimePoint Now) const {
   return this->KeepReadingUntil && Now < *this->KeepReadingUntil;
 }
 
-// The platform's outage makes everybody's documents old as well; the bound on
-// the rank keeps the fleet from asking all together.
+// Returns whether the configuration has not been confirmed for so long that
+// this node has to read. An outage of the platform also leaves the documents of
+// all nodes unconfirmed; the limit on the rank keeps the whole fleet from
+// reading at once.
 bool ControlPlane::shouldTakeOverReading(TimePoint Now) const {
   if (!this->Opts.Spread.Guards.ClimbPastDead)
     return false;
   size_t Rank = this->Fleet.readerRank(this->Avoided);
-  // A version that has come just now is not confirmed yet, and is not old.
+  // A version that has just arrived is not confirmed yet, but it is not old:
+  // its age counts from its activation.
   std::optional<Millis> Age = this->Spread.age(ConfigTopic, Now);
   TimePoint Since = this->ActiveConfigSince.value_or(*this->StartedAt);
-  Millis Held = Age ? *Age : toMillis(Now - Since);
-  Millis Bound =
+  Millis Unconfirmed = Age ? *Age : toMillis(Now - Since);
+  Millis Limit =
       2 * this->Opts.Read.WatchWait +
       this->Opts.TakeoverHeartbeats * this->Opts.Spread.HeartbeatInterval +
       static_cast<int64_t>(Rank) * this->Opts.TakeoverDelayPerRank;
-  return Rank < this->Opts.MaxTakeoverNodes && Held > Bound;
+  return Rank < this->Opts.MaxTakeoverNodes && Unconfirmed > Limit;
 }
 
-// Whoever turned to this node for a list waits for it.
+// Called if another node uses this node as its seed. If this node has no list
+// either, it starts reading at once, as the other node waits for the list.
 void ControlPlane::onSeedRequest(TimePoint Now) {
   this->UsedAsSeed = true;
   if (this->StartedAt && !this->hasList())
@@ -297,10 +316,10 @@
     return;
   if (Frame->payload.AsGoodbye())
     return this->closeLink(Link, Now);
-  if (const auto *Said = Frame->payload.AsFleetExchange())
-    return this->View.recordExchange(*Said, Now);
-  if (const auto *Said = Frame->payload.AsQuarantine())
-    return this->RequestQuarantine.receive(Link, *Said, Now);
+  if (const auto *Exchange = Frame->payload.AsFleetExchange())
+    return this->View.recordExchange(*Exchange, Now);
+  if (const auto *Records = Frame->payload.AsQuarantine())
+    return this->RequestQuarantine.receive(Link, *Records, Now);
   if (const auto *Beat = Frame->payload.AsHeartbeat(); Beat && Beat->report)
     this->onReport(Link, *Beat->report, Now);
   this->Spread.receive(Link, *Frame, Now);
@@ -325,8 +344,8 @@
 }
 
 void ControlPlane::scheduleReport(TimePoint Now) {
-  if (std::optional<LinkId> Up = this->parentLink())
-    this->Spread.sendHeartbeatBy(*Up, Now + this->Opts.ReportBatchDelay);
+  if (std::optional<LinkId> Link = this->parentLink())
+    this->Spread.sendHeartbeatBy(*Link, Now + this->Opts.ReportBatchDelay);
 }
 
 void ControlPlane::exchangeReports(TimePoint Now) {
@@ -336,75 +355,77 @@
   for (const auto &[Link, To] : this->Peers) {
     if (!To.HelloReceived || To.Kind != Tie::Bridge)
       continue;
-    wire::FleetExchangeT Said;
-    Said.reports.push_back(
+    wire::FleetExchangeT Exchange;
+    Exchange.reports.push_back(
         std::make_unique<wire::FleetReportT>(this->View.report(Now)));
     wire::SpreadFrameT Frame;
-    Frame.payload.Set(std::move(Said));
+    Frame.payload.Set(std::move(Exchange));
     this->Hook.Send(Link, encodeFrame(Frame));
   }
 }
 
-bool ControlPlane::accept(const Spreader::ReceivedDocument &Arrived,
+bool ControlPlane::accept(const Spreader::ReceivedDocument &Received,
                           TimePoint Now) {
-  if (Arrived.Topic == ConfigTopic)
-    return this->acceptConfig(Arrived, Now);
-  if (Arrived.Topic == EvacuationTopic)
-    this->acceptEvacuations(Arrived, Now);
-  else if (!listTopicDataCentre(Arrived.Topic).empty())
-    this->acceptList(Arrived, Now);
+  if (Received.Topic == ConfigTopic)
+    return this->acceptConfig(Received, Now);
+  if (Received.Topic == EvacuationTopic)
+    this->acceptEvacuations(Received, Now);
+  else if (!listTopicDataCentre(Received.Topic).empty())
+    this->acceptList(Received, Now);
   return true;
 }
 
-void ControlPlane::acceptEvacuations(const Spreader::ReceivedDocument &Arrived,
+void ControlPlane::acceptEvacuations(const Spreader::ReceivedDocument &Received,
                                      TimePoint Now) {
   std::set<std::string> Before = this->Fleet.evacuated();
-  std::set<std::string> After = evacuatedIn(*Arrived.Doc);
+  std::set<std::string> After = evacuatedIn(*Received.Doc);
   bool Follows = this->Opts.Spread.Guards.FollowEvacuations;
   if (!Follows || !this->Fleet.evacuate(After))
     return;
-  for (const std::string &One : After)
-    if (!Before.count(One))
-      this->Trail.add(Now, "evacuation", One, Arrived.Source, "begun");
-  for (const std::string &One : Before)
-    if (!After.count(One))
-      this->Trail.add(Now, "evacuation", One, Arrived.Source, "taken back");
+  for (const std::string &DataCentre : After)
+    if (!Before.count(DataCentre))
+      this->Trail.add(Now, "evacuation", DataCentre, Received.Source, "begun");
+  for (const std::string &DataCentre : Before)
+    if (!After.count(DataCentre))
+      this->Trail.add(Now, "evacuation", DataCentre, Received.Source,
+                      "taken back");
   this->Hook.MembersChanged(Now);
 }
 
-bool ControlPlane::acceptConfig(const Spreader::ReceivedDocument &Arrived,
+bool ControlPlane::acceptConfig(const Spreader::ReceivedDocument &Received,
                                 TimePoint Now) {
-  CompileResult Made = this->ConfigCompiler.compile(*Arrived.Doc);
-  std::string Stamp = Arrived.Doc->stamp().text();
-  if (!Made.Compiled) {
-    this->View.setRefusal(Arrived.Doc->stamp(), Made.Faults.front().text());
-    for (const Fault &One : Made.Faults)
-      this->Trail.add(Now, "version-refused", Stamp, Arrived.Source,
-                      One.text());
+  CompileResult Compiled = this->ConfigCompiler.compile(*Received.Doc);
+  std::string Stamp = Received.Doc->stamp().text();
+  if (!Compiled.Compiled) {
+    this->View.setRefusal(Received.Doc->stamp(),
+                          Compiled.Faults.front().text());
+    for (const Fault &Found : Compiled.Faults)
+      this->Trail.add(Now, "version-refused", Stamp, Received.Source,
+                      Found.text());
     this->scheduleReport(Now);
     return false;
   }
-  // Seeds are left once there is a version.
+  // The links to seeds are closed once there is a version.
   this->NeedsRetarget |= !this->ActiveConfig;
-  this->ActiveConfig = Made.Compiled;
-  this->ActiveConfigSource = Arrived.Source;
+  this->ActiveConfig = Compiled.Compiled;
+  this->ActiveConfigSource = Received.Source;
   this->ActiveConfigSince = Now;
-  this->View.setActiveVersion(Arrived.Doc->stamp());
-  this->Trail.add(Now, "version-in-force", Stamp, Arrived.Source, "taken");
+  this->View.setActiveVersion(Received.Doc->stamp());
+  this->Trail.add(Now, "version-in-force", Stamp, Received.Source, "taken");
   this->Hook.ConfigChanged(this->ActiveConfig, Now);
   this->scheduleReport(Now);
   return true;
 }
 
-void ControlPlane::acceptList(const Spreader::ReceivedDocument &Arrived,
+void ControlPlane::acceptList(const Spreader::ReceivedDocument &Received,
                               TimePoint Now) {
   uint64_t Before = this->Fleet.generation();
-  this->Fleet.update(listTopicDataCentre(Arrived.Topic), *Arrived.Doc);
+  this->Fleet.update(listTopicDataCentre(Received.Topic), *Received.Doc);
   if (this->Fleet.generation() == Before)
     return;
   this->Trail.add(Now, "list",
-                  Arrived.Topic + " " + Arrived.Doc->stamp().text(),
-                  Arrived.Source, "taken");
+                  Received.Topic + " " + Received.Doc->stamp().text(),
+                  Received.Source, "taken");
   this->NeedsRetarget = true;
   this->Hook.MembersChanged(Now);
 }
@@ -422,11 +443,11 @@
 }
 
 std::vector<std::string> ControlPlane::peerNames() const {
-  std::vector<std::string> Out;
-  for (const auto &[Link, One] : this->Peers)
-    if (One.HelloReceived)
-      Out.push_back(One.Name);
-  return Out;
+  std::vector<std::string> Names;
+  for (const auto &[Link, Linked] : this->Peers)
+    if (Linked.HelloReceived)
+      Names.push_back(Linked.Name);
+  return Names;
 }
 
 } // namespace hickorylift
--- a/src/control/ControlPlane.h
+++ b/src/control/ControlPlane.h
@@ -10,104 +10,112 @@
 #include "spread/FleetView.h"
 #include "spread/Spreader.h"
 
-// The ControlPlane is all that one node decides about configuration and
-// membership: whether to read the platform, whom to dial, what to put in
-// force. It has no socket and no clock.
+// ControlPlane makes all decisions of one node about configuration and
+// membership: whether to read the platform, which peers to dial, and which
+// version to activate. It uses neither sockets nor a clock: the owner passes in
+// events with their time, and hooks perform the actions.
 //
 //   ControlPlane Control(Options, MakeRead, Hooks);
-//   Control.tick(Now);                       // ten times a second
+//   Control.tick(Now);                           // ten times a second
 //   Control.linkOpened(Link, "portal-2", Now);   // a dial succeeded
-//   Control.linkOpened(Link, "", Now);           // a peer dialled us
-//   Control.frame(Link, Bytes, Now);
-//   ConfigPtr InForce = Control.config();    // null until there is one
+//   Control.linkOpened(Link, "", Now);           // a peer dialled this node
+//   Control.receiveFrame(Link, Bytes, Now);
+//   ConfigPtr Active = Control.config();         // null until there is one
 
 namespace hickorylift {
 
-/// Rises when the frames between nodes change in a way worth telling apart.
+/// Increased when the frames between nodes change so much that operators need
+/// to tell the builds apart.
 constexpr uint32_t BuildNumber = 1;
 
 class ControlPlane {
 public:
   struct Options {
-    /// This instance's name and place, as the platform lists it.
+    /// This instance's name and data centre, as listed by the platform.
     std::string Self;
     std::string DataCentre;
-    /// All data centres of the deployment. A list of each is needed before an
-    /// idempotency key can be judged.
+    /// All data centres of the deployment. A gate needs the list of each before
+    /// it can decide on calls with an idempotency key.
     std::vector<std::string> DataCentres;
-    /// Tells this process from earlier ones in its place.
+    /// Distinguishes this process from earlier ones of the same instance.
     uint64_t Incarnation = 1;
-    /// Told to peers, and counted in the view of the fleet.
+    /// Sent to peers, and counted in the fleet reports.
     uint32_t Build = BuildNumber;
-    /// Seed of all jitter.
+    /// Seed of all random jitter.
     uint64_t Seed = 1;
-    /// Peers to try before the platform's list is known: name to address, or
-    /// address to address where the name is not known.
+    /// Seeds: peers to dial while the platform's list is not known. Maps name
+    /// to address, or address to address if the name is not known.
     std::map<std::string, std::string> Seeds;
-    /// How long a starting node waits for peers before it asks the platform.
-    /// One that others take for their seed does not wait: if it knows no more
-    /// than they do, somebody has to ask.
+    /// How long a starting node waits for its peers before it reads the
+    /// platform. A node that others use as their seed does not wait: if it has
+    /// no list either, one of them has to read.
     Millis PeerWaitTime{1000};
-    /// A node tries its seeds one after the other, in an order of its own, so
-    /// long after the last if it has no list by then: a herd that starts
-    /// together draws on all of them alike.
+    /// A node that has no list yet dials one more of its seeds after each such
+    /// interval. Each node has its own order of the seeds, so that many nodes
+    /// that start at once spread their load over all seeds.
     Millis SeedDialInterval{150};
-    /// Between two attempts to reach a neighbour; doubles, with jitter.
+    /// Delay between attempts to dial a neighbour: doubles from MinRedialDelay
+    /// to MaxRedialDelay, with jitter.
     Millis MinRedialDelay{100};
     Millis MaxRedialDelay{5000};
-    /// Dials in a row that must fail before a neighbour is passed over, and for
-    /// how long if nobody tries it any more.
+    /// Number of consecutive failed dials after which a neighbour is avoided,
+    /// and for how long it is avoided if it is not dialled any more.
     unsigned AvoidAfterFailures = 2;
     Millis AvoidDuration{30000};
     /// Minimum time for which a neighbour is avoided after its link was
-    /// condemned for silence. Starts without waiting for AvoidAfter failed
+    /// declared dead. Starts without waiting for AvoidAfterFailures failed
     /// dials, as each dial to an unreachable machine takes the full dial
-    /// timeout. Does not end at the next greeting, as a slow machine accepts
+    /// timeout. Does not end at the next Hello frame, as a slow machine accepts
     /// new links but forwards versions late.
     Millis AvoidUnresponsiveDuration{4000};
-    /// A node that is not a reader becomes one when what it holds was not
-    /// confirmed for two watches and this many heartbeats (in normal running
-    /// the age is one watch, and a heartbeat for each level of the tree), and
-    /// as much longer as TakeoverStep for each one before it in line: the
-    /// readers may all be gone in a way that nobody next in line sees. No more
-    /// than TakeoverMost nodes do so.
+    /// A node that is not a reader starts reading if its configuration has not
+    /// been confirmed for two watches plus this many heartbeats, plus
+    /// TakeoverDelayPerRank for each node that precedes it in the order of
+    /// readers. All readers may have failed without the next node in order
+    /// detecting it. In normal operation the age is one watch plus one
+    /// heartbeat per level of the tree. At most MaxTakeoverNodes nodes take
+    /// over.
     int64_t TakeoverHeartbeats = 10;
     Millis TakeoverDelayPerRank{5000};
     size_t MaxTakeoverNodes = 8;
-    /// A node that has had no link to its parent for this long reads by itself,
-    /// until it has one again. Zero for never. What its neighbours know may
-    /// never reach it, while it can reach the platform as well as they can.
+    /// A node that has had no link to its parent for this long reads the
+    /// platform until it has a parent link again; 0 means never. It may receive
+    /// none of its neighbours' versions, while it can reach the platform as
+    /// well as they can.
     Millis LostParentReadDelay{0};
-    /// And so long after it has a link to a parent again. A parent whose links
-    /// were condemned for silence may be a slow machine, of which each new link
-    /// works: it hands a version on seconds after it has taken it, and its
-    /// children would serve by the old one. A second or two longer than a
-    /// version may take.
+    /// How long the node continues to read after it has a parent link again.
+    /// The parent may be a slow machine whose links are declared dead although
+    /// each new link works: it forwards a version seconds after receiving it,
+    /// and meanwhile its children would serve the previous version. This is one
+    /// or two seconds longer than a version may take.
     Millis RegainedParentReadTime{4000};
     /// How long the link to the former parent counts as a parent link after the
     /// tree has assigned another parent, if that one is not linked yet.
-    /// OrphanReadsAfter starts when this ends. Less than the time within which
-    /// a version must arrive, as the former parent may be disconnected as well.
+    /// LostParentReadDelay starts when this ends. Less than the time within
+    /// which a version must arrive, as the former parent may be disconnected as
+    /// well.
     Millis FormerParentTimeout{700};
-    /// Links accepted at once. More are closed at the handshake, and the peer
-    /// comes back later.
+    /// Maximum number of open links. Further links that peers dial are closed
+    /// at the handshake, and the peer redials later.
     size_t MaxLinks = 256;
-    /// Reports older than this count as not heard.
+    /// Fleet reports older than this are left out of the counts.
     Millis MaxReportAge{15000};
-    /// A changed report waits this long for others before it goes up.
+    /// How long a changed report waits for further changes before it is sent to
+    /// the parent.
     Millis ReportBatchDelay{100};
-    /// A jump of the clock between two ticks that counts as a pause.
+    /// A gap between two ticks longer than this counts as a process pause.
     Millis PauseThreshold{1500};
-    /// Options of the slices that this one joins.
+    /// Options of the components that ControlPlane contains.
     Membership::Options Members;
     Spreader::Options Spread;
-    /// Of the reader, and how long one watch may wait, whatever reads.
+    /// Options of Reader. Its WatchWait (how long one watch may wait) is used
+    /// with every kind of document source.
     Reader::Options Read;
     CompileOptions Compile;
-    /// Of the requests that crash upstreams; Self and Incarnation are filled
-    /// in.
+    /// Options of the quarantine for requests that crash upstreams. NodeCore
+    /// sets Self, Service and Incarnation.
     Quarantine::Options QuarantineOpts;
-    /// Events kept in the audit trail.
+    /// Number of events kept in the audit trail.
     size_t AuditCapacity = 1000;
   };
 
@@ -122,21 +130,23 @@
     AuditTrail::Hook Audit = [](const AuditEvent &) {};
   };
 
-  /// MakeRead makes what reads the platform.
+  /// MakeRead creates the document source that reads the platform.
   ControlPlane(Options Opts, const MakeSource &MakeRead, Hooks Hooks);
 
   void tick(TimePoint Now);
-  /// Dialled is the peer's name where this node dialled; else empty.
+  /// Dialled is the name passed to Hooks::Dial, or empty if the peer dialled
+  /// this node.
   void linkOpened(LinkId Link, const std::string &Dialled, TimePoint Now);
   void dialFailed(const std::string &Peer, TimePoint Now);
   void receiveFrame(LinkId Link, std::string_view Bytes, TimePoint Now);
   void linkClosed(LinkId Link, TimePoint Now);
-  /// Tells the peers that this node stops as planned.
+  /// Tells all peers that this node is stopping as planned.
   void sendGoodbye();
 
   ConfigPtr config() const { return this->ActiveConfig; }
-  /// Where the version in force came from, and when.
+  /// The peer from which the active version came, or "platform".
   const std::string &configSource() const { return this->ActiveConfigSource; }
+  /// The time at which the active version was activated.
   std::optional<TimePoint> configSince() const {
     return this->ActiveConfigSince;
   }
@@ -149,12 +159,12 @@
   }
   const AuditTrail &audit() const { return this->Trail; }
   AuditTrail &audit() { return this->Trail; }
-  /// This node's own upstream crashed while these requests ran.
+  /// Records that this node's upstream crashed while these requests ran.
   void upstreamCrashed(const std::vector<Quarantine::Ran> &Running,
                        TimePoint Now);
-  /// Requests that crash upstreams, as all nodes know them.
+  /// The quarantine of requests that crash upstreams, shared by all nodes.
   Quarantine &quarantine() { return this->RequestQuarantine; }
-  /// Items of the platform that could not be used, so far.
+  /// Number of platform items that could not be used so far.
   uint64_t unreadableItems() const { return this->UnreadableItems; }
   /// Number of restores of the platform detected by this node.
   uint64_t platformRestores() const { return this->PlatformRestores; }
@@ -162,13 +172,15 @@
   const DocumentSource &documentSource() const { return *this->Source; }
   /// Names of the peers with a control link.
   std::vector<std::string> peerNames() const;
-  /// The root of this data centre's tree, as this node sees it.
+  /// The root of this data centre's tree, according to this node's list and the
+  /// neighbours that it avoids.
   const Instance *root() const {
     return this->Fleet.root(this->Opts.DataCentre, this->Avoided);
   }
   bool isReader() const { return this->Fleet.isReader(this->Avoided); }
 
 private:
+  // A peer that this node keeps dialling until it is linked.
   struct Target {
     std::string Address;
     Tie Kind = Tie::Tree;
@@ -180,10 +192,12 @@
     bool Seed = false;
   };
 
+  // The other end of an open link.
   struct Peer {
     std::string Name;
-    // The target that was dialled; empty where the peer dialled us. A seed may
-    // be known by its address alone, and then has another name than its target.
+    // The key in Targets that was dialled; empty if the peer dialled this node.
+    // A seed may be configured by its address alone, and then its name differs
+    // from this key.
     std::string DialledName;
     bool HelloReceived = false;
     Tie Kind = Tie::Tree;
@@ -210,10 +224,10 @@
   void onSeedRequest(TimePoint Now);
   void onReport(LinkId Link, const wire::FleetReportT &Report, TimePoint Now);
   void closeLink(LinkId Link, TimePoint Now);
-  bool accept(const Spreader::ReceivedDocument &Arrived, TimePoint Now);
-  bool acceptConfig(const Spreader::ReceivedDocument &Arrived, TimePoint Now);
-  void acceptList(const Spreader::ReceivedDocument &Arrived, TimePoint Now);
-  void acceptEvacuations(const Spreader::ReceivedDocument &Arrived,
+  bool accept(const Spreader::ReceivedDocument &Received, TimePoint Now);
+  bool acceptConfig(const Spreader::ReceivedDocument &Received, TimePoint Now);
+  void acceptList(const Spreader::ReceivedDocument &Received, TimePoint Now);
+  void acceptEvacuations(const Spreader::ReceivedDocument &Received,
                          TimePoint Now);
   bool hasList() const;
   bool hasSeedLink() const;
@@ -233,7 +247,8 @@
   uint64_t PlatformRestores = 0;
   // The era after the last detected restore; empty if there was none.
   std::optional<uint64_t> PlatformEra;
-  // Whoever writes rubbish may do so often.
+  // Limits audit events about unreadable items, as a faulty writer may write
+  // them often.
   TokenBucket UnreadableLog{/*Rate=*/1, /*Burst=*/10};
   Membership Fleet;
   FleetView View;
@@ -245,8 +260,8 @@
   std::map<std::string, Target> Targets;
   AvoidSet Avoided;
   std::map<std::string, TimePoint> AvoidedSince;
-  // Earliest time at which a neighbour condemned for silence may be used again,
-  // even if it answers before.
+  // Earliest time at which a neighbour whose link was declared dead may be used
+  // again, even if it answers before.
   std::map<std::string, TimePoint> AvoidUnresponsiveUntil;
   std::map<LinkId, Peer> Peers;
   ConfigPtr ActiveConfig;
@@ -257,9 +272,10 @@
   // Parent and link state in the last "parent" audit event.
   std::string AuditedParent;
   bool AuditedParentLinked = false;
-  // When the node was last seen to have a link to its parent.
+  // The last time at which the node had a link to its parent.
   std::optional<TimePoint> ParentLastLinkedAt;
-  // Until when it reads by itself though it has one again.
+  // The node reads the platform until this time although it has a parent link
+  // again.
   std::optional<TimePoint> KeepReadingUntil;
   // Links to former neighbours, kept open until the new parent is linked.
   std::set<LinkId> FormerLinks;
@@ -267,7 +283,7 @@
   std::optional<LinkId> FormerParentLink;
   TimePoint FormerParentValidUntil;
   bool NeedsRetarget = true;
-  // Somebody who has no list has turned to this node.
+  // A node that has no list opened a link to this node as its seed.
   bool UsedAsSeed = false;
   ReadDuty LastDuty = ReadDuty::None;
   TimePoint NextExchange;
