--- a/src/control/ControlFixture.h
+++ b/src/control/ControlFixture.h
@@ -12,23 +12,30 @@
 // Shared helpers for the control plane tests: a document source that never
 // publishes, builders for the documents that a test publishes itself, and
 // membership options.
+//
+//   UnresponsiveSource Source(&LastDuty);   // stores the duty of each tick
+//   Publish(ConfigTopic, makeVersion(2), Now);
+//   Publish(listTopic("north"), makeInstanceList(12), Now);
 
 namespace hickorylift {
 
-/// Simulates an unreachable platform: never publishes a document.
+/// Simulates an unreachable platform: never publishes a document. Stores the
+/// duty that the node assigns to it in *LastDuty, if that is not null.
 class UnresponsiveSource : public DocumentSource {
 public:
-  explicit UnresponsiveSource(ReadDuty *Wanted = nullptr) : Wanted(Wanted) {}
-  void tick(TimePoint, ReadDuty Now) override {
-    if (this->Wanted)
-      *this->Wanted = Now;
+  explicit UnresponsiveSource(ReadDuty *LastDuty = nullptr)
+      : LastDuty(LastDuty) {}
+  void tick(TimePoint, ReadDuty Duty) override {
+    if (this->LastDuty)
+      *this->LastDuty = Duty;
   }
   uint64_t reads() const override { return 0; }
 
 private:
-  ReadDuty *Wanted;
+  ReadDuty *LastDuty;
 };
 
+/// Builds a valid configuration with this version number.
 inline DocumentPtr makeVersion(uint64_t Number) {
   FaultList Faults;
   std::optional<EntryMap> Records = readRecordFile(
@@ -37,6 +44,7 @@
   return Document::make(Number, Number, std::move(*Records));
 }
 
+/// Builds a data centre's list of instances with these names.
 inline DocumentPtr makeInstanceList(const std::vector<std::string> &Names,
                                     uint64_t Revision,
                                     const std::string &DataCentre = "north") {
@@ -53,6 +61,7 @@
   return Document::make(Revision, Revision, std::move(Entries));
 }
 
+/// Builds a list of Size instances named "n-0", "n-1", ...
 inline DocumentPtr makeInstanceList(size_t Size,
                                     const std::string &DataCentre = "north") {
   std::vector<std::string> Names;
@@ -63,12 +72,12 @@
 
 inline Membership::Options membershipOptions(const std::string &Self,
                                              size_t SpareReaders) {
-  Membership::Options Out;
-  Out.Self = Self;
-  Out.DataCentre = "north";
-  Out.Readers = 1;
-  Out.SpareReaders = SpareReaders;
-  return Out;
+  Membership::Options Opts;
+  Opts.Self = Self;
+  Opts.DataCentre = "north";
+  Opts.Readers = 1;
+  Opts.SpareReaders = SpareReaders;
+  return Opts;
 }
 
 } // namespace hickorylift
--- a/src/control/ControlPlaneTest.cpp
+++ b/src/control/ControlPlaneTest.cpp
@@ -16,39 +16,40 @@
 const char SeedName[] = "10.0.0.1";
 const char SeedAddress[] = "10.0.0.1:7000";
 
-/// One node and the seed that it is told of, joined by links that the test
-/// makes and cuts.
+/// A node and its configured seed, with one link that the test opens and
+/// closes. Index 0 is the seed, 1 the node.
 struct SeededNode {
-  explicit SeededNode(const std::string &SeedKey, Millis PeersFirst = Millis(0))
-      : PeersFirst(PeersFirst) {
+  explicit SeededNode(const std::string &SeedKey,
+                      Millis PeerWaitTime = Millis(0))
+      : PeerWaitTime(PeerWaitTime) {
     this->Seed = this->make(0, SeedName, {{"10.0.0.9", "10.0.0.9:7000"}});
     this->Node = this->make(1, "10.0.0.2", {{SeedKey, SeedAddress}});
   }
 
-  std::unique_ptr<ControlPlane> make(int Which, const std::string &Name,
+  std::unique_ptr<ControlPlane> make(int Index, const std::string &Name,
                                      std::map<std::string, std::string> Seeds) {
     ControlPlane::Options Opts;
     Opts.Self = Opts.Members.Self = Name;
     Opts.DataCentre = Opts.Members.DataCentre = "north";
     Opts.DataCentres = {"north", "south"};
     Opts.Seeds = std::move(Seeds);
-    Opts.PeerWaitTime = this->PeersFirst;
+    Opts.PeerWaitTime = this->PeerWaitTime;
     ControlPlane::Hooks Hooks;
-    Hooks.Dial = [this, Which](const std::string &Peer,
+    Hooks.Dial = [this, Index](const std::string &Peer,
                                const std::string &Address) {
-      if (Which == 0)
+      if (Index == 0)
         return;
       this->Dialled.push_back(Peer);
       BOOST_TEST(Address == SeedAddress);
     };
-    Hooks.Send = [this, Which](LinkId, std::string Bytes) {
-      this->Frames.emplace_back(1 - Which, std::move(Bytes));
+    Hooks.Send = [this, Index](LinkId, std::string Bytes) {
+      this->Frames.emplace_back(1 - Index, std::move(Bytes));
     };
     Hooks.Close = [](LinkId) {};
-    MakeSource Make = [this, Which](const SourceHooks &Given) {
-      if (Which == 0)
+    MakeSource Make = [this, Index](const SourceHooks &Given) {
+      if (Index == 0)
         this->Publish = Given.Publish;
-      return std::make_unique<UnresponsiveSource>(&this->Wanted[Which]);
+      return std::make_unique<UnresponsiveSource>(&this->Duties[Index]);
     };
     return std::make_unique<ControlPlane>(Opts, Make, Hooks);
   }
@@ -60,73 +61,73 @@
       this->Node->tick(this->Now);
       if (!this->Linked && !this->Dialled.empty())
         this->connect();
-      this->settle();
+      this->deliverFrames();
     }
   }
 
   void connect() {
     this->Linked = true;
-    ++this->Links;
-    this->Seed->linkOpened(this->Links, "", this->Now);
-    this->Node->linkOpened(this->Links, this->Dialled.back(), this->Now);
+    ++this->LastLink;
+    this->Seed->linkOpened(this->LastLink, "", this->Now);
+    this->Node->linkOpened(this->LastLink, this->Dialled.back(), this->Now);
     this->Dialled.clear();
   }
 
-  void settle() {
+  void deliverFrames() {
     while (!this->Frames.empty()) {
       auto [To, Bytes] = std::move(this->Frames.front());
       this->Frames.pop_front();
-      ControlPlane &At = To == 0 ? *this->Seed : *this->Node;
-      At.receiveFrame(this->Links, Bytes, this->Now);
+      ControlPlane &Receiver = To == 0 ? *this->Seed : *this->Node;
+      Receiver.receiveFrame(this->LastLink, Bytes, this->Now);
     }
   }
 
-  void cut() {
+  void disconnect() {
     this->Linked = false;
-    this->Seed->linkClosed(this->Links, this->Now);
-    this->Node->linkClosed(this->Links, this->Now);
+    this->Seed->linkClosed(this->LastLink, this->Now);
+    this->Node->linkClosed(this->LastLink, this->Now);
   }
 
-  uint64_t inForce() const {
+  uint64_t activeVersion() const {
     return this->Node->config() ? this->Node->config()->stamp().Version : 0;
   }
 
-  Millis PeersFirst;
-  ReadDuty Wanted[2] = {ReadDuty::None, ReadDuty::None};
+  Millis PeerWaitTime;
+  ReadDuty Duties[2] = {ReadDuty::None, ReadDuty::None};
   std::unique_ptr<ControlPlane> Seed;
   std::unique_ptr<ControlPlane> Node;
   std::function<void(const std::string &, DocumentPtr, TimePoint)> Publish;
   std::vector<std::string> Dialled;
   std::deque<std::pair<int, std::string>> Frames;
   bool Linked = false;
-  LinkId Links = 0;
+  LinkId LastLink = 0;
   TimePoint Now = TimePoint(std::chrono::hours(1));
 };
 
-/// A node of a larger fleet that neither reads nor stands at the root of the
-/// tree, and its parent.
+/// A node of a larger fleet that is neither a reader nor the root of the tree,
+/// and its parent.
 struct ChildNode {
   static constexpr LinkId Link = 7;
 
   ChildNode() {
     for (size_t I = 0; I < FleetSize && this->Self.empty(); ++I) {
-      Membership Seen(
+      Membership View(
           membershipOptions("n-" + std::to_string(I), /*SpareReaders=*/1));
-      Seen.update("north", *makeInstanceList(FleetSize));
-      if (Seen.isReader() || !Seen.parent())
+      View.update("north", *makeInstanceList(FleetSize));
+      if (View.isReader() || !View.parent())
         continue;
       this->Self = "n-" + std::to_string(I);
-      this->Parent = Seen.parent()->Name;
+      this->Parent = View.parent()->Name;
     }
     BOOST_REQUIRE(!this->Self.empty());
-    this->Node = this->make(this->Self, &this->Wanted);
-    this->Above = this->make(this->Parent, nullptr);
+    this->Node = this->make(this->Self, &this->Duty);
+    this->ParentNode = this->make(this->Parent, nullptr);
     this->Publish(listTopic("north"), makeInstanceList(FleetSize), this->Now);
     this->Publish(ConfigTopic, makeVersion(1), this->Now);
   }
 
   std::unique_ptr<ControlPlane> make(const std::string &Name,
-                                     ReadDuty *Wanted) {
+                                     ReadDuty *LastDuty) {
     ControlPlane::Options Opts;
     Opts.Self = Name;
     Opts.DataCentre = "north";
@@ -136,16 +137,16 @@
     Opts.LostParentReadDelay = Millis(300);
     ControlPlane::Hooks Hooks;
     Hooks.Dial = [](const std::string &, const std::string &) {};
-    Hooks.Send = [this, Wanted](LinkId, std::string Bytes) {
-      this->Frames.emplace_back(Wanted ? 0 : 1, std::move(Bytes));
+    Hooks.Send = [this, LastDuty](LinkId, std::string Bytes) {
+      this->Frames.emplace_back(LastDuty ? 0 : 1, std::move(Bytes));
     };
     Hooks.Close = [](LinkId) {};
     return std::make_unique<ControlPlane>(
         Opts,
-        [this, Wanted](const SourceHooks &Given) {
-          if (Wanted)
+        [this, LastDuty](const SourceHooks &Given) {
+          if (LastDuty)
             this->Publish = Given.Publish;
-          return std::make_unique<UnresponsiveSource>(Wanted);
+          return std::make_unique<UnresponsiveSource>(LastDuty);
         },
         Hooks);
   }
@@ -157,23 +158,23 @@
       while (!this->Frames.empty()) {
         auto [From, Bytes] = std::move(this->Frames.front());
         this->Frames.pop_front();
-        (From == 0 ? *this->Above : *this->Node)
+        (From == 0 ? *this->ParentNode : *this->Node)
             .receiveFrame(Link, Bytes, this->Now);
       }
     }
   }
 
   void link() {
-    this->Above->linkOpened(Link, "", this->Now);
+    this->ParentNode->linkOpened(Link, "", this->Now);
     this->Node->linkOpened(Link, this->Parent, this->Now);
   }
 
   static constexpr size_t FleetSize = 12;
   std::string Self;
   std::string Parent;
-  ReadDuty Wanted = ReadDuty::None;
+  ReadDuty Duty = ReadDuty::None;
   std::unique_ptr<ControlPlane> Node;
-  std::unique_ptr<ControlPlane> Above;
+  std::unique_ptr<ControlPlane> ParentNode;
   std::function<void(const std::string &, DocumentPtr, TimePoint)> Publish;
   std::deque<std::pair<int, std::string>> Frames;
   TimePoint Now = TimePoint(std::chrono::hours(1));
@@ -181,116 +182,117 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(Controlling)
+BOOST_AUTO_TEST_SUITE(ControlPlaneTests)
 
-// Versions come to this node from its parent, and the parent is cut off. The
-// node can still reach the platform, and its callers expect the version that
-// was accepted: it must read by itself. A parent that is slow has its links
-// condemned, and each new one works, but hands versions on seconds late: so the
-// node reads on for a while after it has a parent again.
-BOOST_FIXTURE_TEST_CASE(NodesWithoutAParentRead, ChildNode) {
+// A node receives versions from its parent and loses the link to it. Guards
+// against a node that keeps serving an outdated version although it can reach
+// the platform: it must read the platform itself. It must also continue to read
+// for some time after it has a parent link again, as a slow parent accepts new
+// links but forwards versions seconds late.
+BOOST_FIXTURE_TEST_CASE(NodeReadsAfterLosingItsParent, ChildNode) {
   this->run(Millis(100));
   this->link();
   this->run(Millis(1000));
-  BOOST_TEST((this->Wanted == ReadDuty::None));
+  BOOST_TEST((this->Duty == ReadDuty::None));
   this->Node->linkClosed(Link, this->Now);
   this->run(Millis(500));
-  BOOST_TEST((this->Wanted == ReadDuty::Watch));
-  this->Above->linkClosed(Link, this->Now);
+  BOOST_TEST((this->Duty == ReadDuty::Watch));
+  this->ParentNode->linkClosed(Link, this->Now);
   this->link();
   this->run(Millis(300));
-  BOOST_TEST((this->Wanted == ReadDuty::Spare));
+  BOOST_TEST((this->Duty == ReadDuty::Spare));
   this->run(Millis(3000));
-  BOOST_TEST((this->Wanted == ReadDuty::Spare));
+  BOOST_TEST((this->Duty == ReadDuty::Spare));
   this->run(Millis(1000));
-  BOOST_TEST((this->Wanted == ReadDuty::None));
+  BOOST_TEST((this->Duty == ReadDuty::None));
 }
 
-// Versions come one after the other to a node that is next in line to read.
-// Each is unconfirmed for a moment; were it taken for old, the node would turn
-// to the platform at every version, beside the readers that are well.
-BOOST_FIXTURE_TEST_CASE(NewVersionsAreNotTakenForOldOnes, ChildNode) {
+// Each new version is unconfirmed for a moment. Guards against a node next in
+// the order of readers that treats a new version as an old one: it would read
+// the platform at each version although the readers work.
+BOOST_FIXTURE_TEST_CASE(NewVersionIsNotMistakenForAnOldOne, ChildNode) {
   this->run(Millis(100));
   this->link();
   for (int I = 0; I < 600; ++I) {
-    this->Above->tick(this->Now);
+    this->ParentNode->tick(this->Now);
     this->run(Millis(100));
   }
-  BOOST_TEST((this->Wanted == ReadDuty::Watch));
+  BOOST_TEST((this->Duty == ReadDuty::Watch));
   this->Publish(ConfigTopic, makeVersion(2), this->Now);
   this->run(Millis(200));
-  BOOST_TEST((this->Wanted == ReadDuty::None));
+  BOOST_TEST((this->Duty == ReadDuty::None));
 }
 
-// Callers of a node that has just started are refused for as long as it knows
-// no configuration. The platform is away, so the node can only learn it from a
-// seed; the settings may name the seed, or tell its address alone. Its link
-// breaks once, and versions that are accepted later must still come.
-BOOST_DATA_TEST_CASE(StartsFromASeedWhileThePlatformIsAway,
+// Guards against a node that cannot start during an outage of the platform: it
+// refuses its callers until it has a configuration, and only a seed can send
+// one. The settings may give the seed's name, or its address alone. Later
+// versions must still arrive after the link to the seed has broken once.
+BOOST_DATA_TEST_CASE(NodeStartsFromASeedDuringAPlatformOutage,
                      data::make({SeedName, SeedAddress}), Key) {
   SeededNode Pair(Key);
   Pair.run(Millis(500));
   Pair.Publish(ConfigTopic, makeVersion(1), Pair.Now);
   Pair.run(Millis(500));
-  BOOST_TEST(Pair.inForce() == 1u);
-  Pair.cut();
+  BOOST_TEST(Pair.activeVersion() == 1u);
+  Pair.disconnect();
   Pair.run(Millis(2000));
   Pair.Publish(ConfigTopic, makeVersion(2), Pair.Now);
   Pair.run(Millis(500));
-  BOOST_TEST(Pair.inForce() == 2u);
+  BOOST_TEST(Pair.activeVersion() == 2u);
 }
 
-// All nodes of a fleet lose power and start together. Were each to read the
-// platform, hundreds of nodes would read hundreds of entries each; were all to
-// wait for the others, callers would be refused until their patience ends. So
-// the one that the others turn to reads, and they have the list from it.
-BOOST_AUTO_TEST_CASE(WhoIsTakenForASeedReadsForTheOthers) {
+// All nodes of a fleet start at once after a power failure. Guards against all
+// of them reading the platform (hundreds of nodes would read hundreds of
+// entries each), and against all of them waiting for each other, which refuses
+// callers until they time out. The node that others use as their seed reads,
+// and sends them the list.
+BOOST_AUTO_TEST_CASE(SeedReadsForTheNodesThatUseIt) {
   SeededNode Pair(SeedAddress, Millis(800));
   Pair.run(Millis(300));
-  BOOST_TEST((Pair.Wanted[0] == ReadDuty::ListForOthers));
-  BOOST_TEST((Pair.Wanted[1] == ReadDuty::None));
+  BOOST_TEST((Pair.Duties[0] == ReadDuty::ListForOthers));
+  BOOST_TEST((Pair.Duties[1] == ReadDuty::None));
   Pair.Publish(listTopic("north"), makeInstanceList(1), Pair.Now);
   Pair.run(Millis(100));
   BOOST_TEST(Pair.Node->members().size() == 1u);
 }
 
-// The upstreams of a fleet that starts are listed one after the other, those of
-// another data centre first. A node whose own data centre is empty so far has
-// no neighbours, and goes on hearing from its seed: with hundreds that each
-// watched the platform until then, most of its calls of a day were made in one
-// second.
-BOOST_AUTO_TEST_CASE(NodesKeepToTheirSeedUntilTheirDataCentreIsListed) {
+// The upstreams of a starting fleet are listed one after the other, those of
+// another data centre first. A node whose local list is still empty has no
+// neighbours, and must stay linked to its seed instead of reading. With
+// hundreds of nodes that each watched the platform meanwhile, most of a day's
+// platform calls were made in one second.
+BOOST_AUTO_TEST_CASE(NodeStaysOnItsSeedWhileItsDataCentreIsEmpty) {
   SeededNode Pair(SeedAddress, Millis(800));
   Pair.run(Millis(200));
   Pair.Publish(listTopic("north"), Document::make(1, 1, {}), Pair.Now);
   Pair.Publish(listTopic("south"), makeInstanceList(3, "south"), Pair.Now);
   Pair.Publish(ConfigTopic, makeVersion(1), Pair.Now);
   Pair.run(Millis(3000));
-  BOOST_TEST(Pair.inForce() == 1u);
+  BOOST_TEST(Pair.activeVersion() == 1u);
   BOOST_TEST(Pair.Node->members().size() == 3u);
-  BOOST_TEST((Pair.Wanted[1] == ReadDuty::None));
+  BOOST_TEST((Pair.Duties[1] == ReadDuty::None));
   BOOST_TEST(Pair.Node->peerNames().size() == 1u);
 }
 
-// The seed answers, but cannot reach the platform: those who start must not
-// wait for it for ever.
-BOOST_AUTO_TEST_CASE(WhoHasNothingFromItsSeedReads) {
+// Guards against a starting node that waits forever for a seed which answers
+// but cannot reach the platform.
+BOOST_AUTO_TEST_CASE(NodeReadsIfItsSeedHasNoList) {
   SeededNode Pair(SeedAddress, Millis(800));
   Pair.run(Millis(700));
-  BOOST_TEST((Pair.Wanted[1] == ReadDuty::None));
+  BOOST_TEST((Pair.Duties[1] == ReadDuty::None));
   Pair.run(Millis(300));
-  BOOST_TEST((Pair.Wanted[1] == ReadDuty::List));
+  BOOST_TEST((Pair.Duties[1] == ReadDuty::List));
 }
 
 // Guards against counting a restore once for each reader that reports it.
 BOOST_AUTO_TEST_CASE(RestoresAreCountedOnce) {
-  ReadDuty Wanted = ReadDuty::None;
+  ReadDuty Duty = ReadDuty::None;
   SourceHooks Source;
   ControlPlane Node(
       ControlPlane::Options(),
       [&](const SourceHooks &Given) {
         Source = Given;
-        return std::make_unique<UnresponsiveSource>(&Wanted);
+        return std::make_unique<UnresponsiveSource>(&Duty);
       },
       ControlPlane::Hooks());
   TimePoint Now(std::chrono::hours(1));
--- a/src/control/ParentChangeTest.cpp
+++ b/src/control/ParentChangeTest.cpp
@@ -13,9 +13,9 @@
 /// Returns the parent of Self in the tree of Names, or "" for the root.
 std::string parentOf(const std::string &Self,
                      const std::vector<std::string> &Names) {
-  Membership Seen(membershipOptions(Self, /*SpareReaders=*/0));
-  Seen.update("north", *makeInstanceList(Names, 1));
-  return Seen.parent() ? Seen.parent()->Name : "";
+  Membership View(membershipOptions(Self, /*SpareReaders=*/0));
+  View.update("north", *makeInstanceList(Names, 1));
+  return View.parent() ? View.parent()->Name : "";
 }
 
 /// A non-reader node, its current parent, an instance that becomes its parent
@@ -46,7 +46,7 @@
     this->run(Millis(100));
     this->link(OldLink, 1, this->OldParent);
     this->run(Millis(1000));
-    BOOST_REQUIRE(this->inForce() == 1u);
+    BOOST_REQUIRE(this->activeVersion() == 1u);
   }
 
   bool hasGrandparent(const std::string &Name) const {
@@ -64,7 +64,7 @@
     BOOST_REQUIRE(!this->NewParent.empty());
   }
 
-  std::unique_ptr<ControlPlane> make(int Which, const std::string &Name) {
+  std::unique_ptr<ControlPlane> make(int Index, const std::string &Name) {
     ControlPlane::Options Opts;
     Opts.Self = Name;
     Opts.DataCentre = "north";
@@ -75,33 +75,33 @@
     Opts.Spread.HeartbeatInterval = Millis(400);
     Opts.Spread.LivenessTimeout = Millis(1200);
     ControlPlane::Hooks Hooks;
-    Hooks.Dial = [this, Which](const std::string &Peer, const std::string &) {
-      if (Which == 0)
+    Hooks.Dial = [this, Index](const std::string &Peer, const std::string &) {
+      if (Index == 0)
         this->Dialled.insert(Peer);
     };
-    Hooks.Send = [this, Which](LinkId Link, std::string Bytes) {
-      int To = Which != 0 ? 0 : static_cast<int>(Link - OldLink) + 1;
+    Hooks.Send = [this, Index](LinkId Link, std::string Bytes) {
+      int To = Index != 0 ? 0 : static_cast<int>(Link - OldLink) + 1;
       this->Frames.push_back({To, Link, std::move(Bytes)});
     };
-    Hooks.Close = [this, Which](LinkId Link) {
-      if (Which == 0)
+    Hooks.Close = [this, Index](LinkId Link) {
+      if (Index == 0)
         this->Closed.insert(Link);
     };
     return std::make_unique<ControlPlane>(
         Opts,
-        [this, Which](const SourceHooks &Given) {
-          this->Publish[Which] = Given.Publish;
-          return std::make_unique<UnresponsiveSource>(&this->Wanted[Which]);
+        [this, Index](const SourceHooks &Given) {
+          this->Publish[Index] = Given.Publish;
+          return std::make_unique<UnresponsiveSource>(&this->Duties[Index]);
         },
         Hooks);
   }
 
-  void publish(int Which, const std::string &Topic, const DocumentPtr &Doc) {
-    this->Publish[Which](Topic, Doc, this->Now);
+  void publish(int Index, const std::string &Topic, const DocumentPtr &Doc) {
+    this->Publish[Index](Topic, Doc, this->Now);
   }
 
-  void link(LinkId Link, int Which, const std::string &Name) {
-    this->Nodes[Which]->linkOpened(Link, "", this->Now);
+  void link(LinkId Link, int Index, const std::string &Name) {
+    this->Nodes[Index]->linkOpened(Link, "", this->Now);
     this->Nodes[0]->linkOpened(Link, Name, this->Now);
   }
 
@@ -120,15 +120,15 @@
         Frame Next = std::move(this->Frames.front());
         this->Frames.pop_front();
         if (!this->Closed.count(Next.Link) &&
-            !this->SilentLinks.count(Next.Link))
+            !this->UnresponsiveLinks.count(Next.Link))
           this->Nodes[Next.To]->receiveFrame(Next.Link, Next.Bytes, this->Now);
       }
     }
   }
 
-  uint64_t inForce() const {
-    ConfigPtr Held = this->Nodes[0]->config();
-    return Held ? Held->stamp().Version : 0;
+  uint64_t activeVersion() const {
+    ConfigPtr Active = this->Nodes[0]->config();
+    return Active ? Active->stamp().Version : 0;
   }
 
   /// Subject, source and outcome of the last "parent" audit event.
@@ -151,10 +151,10 @@
   std::string OldParent;
   std::string NewParent;
   std::string Grandparent;
-  ReadDuty Wanted[4] = {ReadDuty::None, ReadDuty::None, ReadDuty::None,
+  ReadDuty Duties[4] = {ReadDuty::None, ReadDuty::None, ReadDuty::None,
                         ReadDuty::None};
   // 0: the node under test, 1: its old parent, 2: its new parent, 3: its
-  // grandparent.
+  // grandparent. The other arrays use the same indices.
   std::unique_ptr<ControlPlane> Nodes[4];
   std::function<void(const std::string &, DocumentPtr, TimePoint)> Publish[4];
   /// Names that the node under test has dialled.
@@ -162,7 +162,7 @@
   std::deque<Frame> Frames;
   std::set<LinkId> Closed;
   /// Links that lose all frames, in both directions.
-  std::set<LinkId> SilentLinks;
+  std::set<LinkId> UnresponsiveLinks;
   TimePoint Now = TimePoint(std::chrono::hours(1));
 };
 
@@ -178,7 +178,7 @@
   this->run(Millis(400));
   this->publish(1, ConfigTopic, makeVersion(2));
   this->run(Millis(200));
-  BOOST_TEST(this->inForce() == 2u);
+  BOOST_TEST(this->activeVersion() == 2u);
 }
 
 // Guards against reading from the platform during a parent change: reading a
@@ -187,10 +187,10 @@
                         ParentChangeFixture) {
   this->listNewParent();
   this->run(Millis(600));
-  BOOST_TEST((this->Wanted[0] == ReadDuty::None));
+  BOOST_TEST((this->Duties[0] == ReadDuty::None));
   this->link(NewLink, 2, this->NewParent);
   this->run(Millis(300));
-  BOOST_TEST((this->Wanted[0] == ReadDuty::None));
+  BOOST_TEST((this->Duties[0] == ReadDuty::None));
   BOOST_TEST(this->Closed.count(OldLink) == 1u);
 }
 
@@ -215,28 +215,28 @@
                         ParentChangeFixture) {
   this->listNewParent();
   this->run(Millis(1500));
-  BOOST_TEST((this->Wanted[0] == ReadDuty::Watch));
+  BOOST_TEST((this->Duties[0] == ReadDuty::Watch));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(SilentParents)
+BOOST_AUTO_TEST_SUITE(UnresponsiveParents)
 
-// Guards against waiting for failed dials to a silent parent before another
-// ancestor is dialled.
-BOOST_FIXTURE_TEST_CASE(AncestorsAreDialledOnceTheLinkIsCondemned,
+// Guards against waiting for failed dials to an unresponsive parent before
+// another ancestor is dialled.
+BOOST_FIXTURE_TEST_CASE(AncestorIsDialledOnceTheLinkIsDeclaredDead,
                         ParentChangeFixture) {
-  this->SilentLinks.insert(OldLink);
+  this->UnresponsiveLinks.insert(OldLink);
   this->run(Millis(1600));
   BOOST_TEST(this->Closed.count(OldLink) == 1u);
   BOOST_TEST(this->Dialled.count(this->Grandparent) == 1u);
 }
 
-// Guards against versions delayed until the platform is read when the parent
-// falls silent.
+// Guards against versions that arrive only once the platform is read, after the
+// parent has become unresponsive.
 BOOST_FIXTURE_TEST_CASE(VersionArrivesThroughAnotherAncestor,
                         ParentChangeFixture) {
-  this->SilentLinks.insert(OldLink);
+  this->UnresponsiveLinks.insert(OldLink);
   this->publish(3, ConfigTopic, makeVersion(2));
   TimePoint Start = this->Now;
   while (!this->Dialled.count(this->Grandparent) &&
@@ -244,21 +244,21 @@
     this->run(Millis(100));
   this->link(GrandparentLink, 3, this->Grandparent);
   this->run(Millis(200));
-  BOOST_TEST(this->inForce() == 2u);
+  BOOST_TEST(this->activeVersion() == 2u);
   BOOST_TEST((this->Now - Start < Millis(2000)));
-  BOOST_TEST((this->Wanted[0] == ReadDuty::None));
+  BOOST_TEST((this->Duties[0] == ReadDuty::None));
 }
 
 // Guards against returning at once to a slow parent, which accepts new links
 // but forwards versions late.
 BOOST_FIXTURE_TEST_CASE(ParentStaysAvoidedAfterItAnswersAgain,
                         ParentChangeFixture) {
-  this->SilentLinks.insert(OldLink);
+  this->UnresponsiveLinks.insert(OldLink);
   this->run(Millis(1600));
   this->link(GrandparentLink, 3, this->Grandparent);
   this->run(Millis(100));
   this->Nodes[1]->linkClosed(OldLink, this->Now);
-  this->SilentLinks.clear();
+  this->UnresponsiveLinks.clear();
   this->Closed.clear();
   this->link(OldLink, 1, this->OldParent);
   this->run(Millis(2000));
