--- a/src/spread/FleetView.cpp
+++ b/src/spread/FleetView.cpp
@@ -2,51 +2,56 @@
 
 #include <algorithm>
 
+// A report is a sum: this node's own state plus the latest report of each
+// child. A node reports to its current parent only, so each node is counted
+// once while the tree does not change. Reports older than MaxReportAge are left
+// out, so nodes that have stopped disappear from the counts.
+
 namespace hickorylift {
 
 namespace {
 
-// Versions and refusals told apart in one report. More than a few only stand
-// side by side while the fleet is split; what is over is counted as heard but
-// under no stamp.
+// Maximum number of versions and of refusals listed in one report. More than a
+// few exist at once only while the fleet is partitioned. Nodes beyond the limit
+// are counted as heard but under no stamp.
 constexpr size_t MaxRows = 16;
 
-void addCount(wire::FleetReportT &To, const wire::Stamp &Held, uint32_t Build,
-              uint32_t Nodes) {
-  Stamp Key = stampFromWire(&Held);
-  for (auto &Row : To.counts) {
+void addCount(wire::FleetReportT &Report, const wire::Stamp &Active,
+              uint32_t Build, uint32_t Nodes) {
+  Stamp Key = stampFromWire(&Active);
+  for (auto &Row : Report.counts) {
     if (stampFromWire(Row->stamp.get()) != Key || Row->build != Build)
       continue;
     Row->nodes += Nodes;
     return;
   }
-  if (To.counts.size() >= MaxRows)
+  if (Report.counts.size() >= MaxRows)
     return;
   auto Row = std::make_unique<wire::StampCountT>();
-  Row->stamp = std::make_unique<wire::Stamp>(Held);
+  Row->stamp = std::make_unique<wire::Stamp>(Active);
   Row->build = Build;
   Row->nodes = Nodes;
-  To.counts.push_back(std::move(Row));
+  Report.counts.push_back(std::move(Row));
 }
 
-void addRefusal(wire::FleetReportT &To, const wire::RefusalT &One) {
-  Stamp Key = stampFromWire(One.stamp.get());
-  for (auto &Row : To.refusals) {
-    if (stampFromWire(Row->stamp.get()) != Key || Row->fault != One.fault)
+void addRefusal(wire::FleetReportT &Report, const wire::RefusalT &Refusal) {
+  Stamp Key = stampFromWire(Refusal.stamp.get());
+  for (auto &Row : Report.refusals) {
+    if (stampFromWire(Row->stamp.get()) != Key || Row->fault != Refusal.fault)
       continue;
-    Row->nodes += One.nodes;
+    Row->nodes += Refusal.nodes;
     return;
   }
-  if (To.refusals.size() < MaxRows)
-    To.refusals.push_back(std::make_unique<wire::RefusalT>(One));
+  if (Report.refusals.size() < MaxRows)
+    Report.refusals.push_back(std::make_unique<wire::RefusalT>(Refusal));
 }
 
 } // namespace
 
-Stamp stampFromWire(const wire::Stamp *Of) {
-  if (!Of)
+Stamp stampFromWire(const wire::Stamp *Value) {
+  if (!Value)
     return {};
-  return {Of->version(), Of->revision(), Of->hash()};
+  return {Value->version(), Value->revision(), Value->hash()};
 }
 
 bool sameReport(const wire::FleetReportT &A, const wire::FleetReportT &B) {
@@ -59,10 +64,10 @@
                     Second.GetBufferPointer());
 }
 
-void FleetView::setRefusal(const Stamp &Of, std::string Fault) {
-  if (Of < this->RefusedStamp)
+void FleetView::setRefusal(const Stamp &Refused, std::string Fault) {
+  if (Refused < this->RefusedStamp)
     return;
-  this->RefusedStamp = Of;
+  this->RefusedStamp = Refused;
   this->RefusedFault = std::move(Fault);
 }
 
@@ -71,23 +76,23 @@
   this->Children.insert_or_assign(Link, ReceivedReport{Report, Now});
 }
 
-void FleetView::recordExchange(const wire::FleetExchangeT &Said,
+void FleetView::recordExchange(const wire::FleetExchangeT &Exchange,
                                TimePoint Now) {
-  for (const auto &Report : Said.reports)
+  for (const auto &Report : Exchange.reports)
     if (Report->data_centre != this->DataCentre)
       this->OtherDataCentres.insert_or_assign(Report->data_centre,
                                               ReceivedReport{*Report, Now});
 }
 
 wire::FleetReportT FleetView::report(TimePoint Now) const {
-  wire::FleetReportT Out;
-  Out.data_centre = this->DataCentre;
-  Out.heard = 1;
-  addCount(Out,
+  wire::FleetReportT Sum;
+  Sum.data_centre = this->DataCentre;
+  Sum.heard = 1;
+  addCount(Sum,
            wire::Stamp(this->ActiveStamp.Version, this->ActiveStamp.Revision,
                        this->ActiveStamp.Hash),
            this->Build, 1);
-  // A refusal matters until something newer is in force here.
+  // A refusal is reported until this node activates a newer version.
   if (this->RefusedStamp > this->ActiveStamp) {
     wire::RefusalT Own;
     Own.stamp = std::make_unique<wire::Stamp>(this->RefusedStamp.Version,
@@ -96,27 +101,27 @@
     Own.nodes = 1;
     Own.sample_node = this->Self;
     Own.fault = this->RefusedFault;
-    addRefusal(Out, Own);
+    addRefusal(Sum, Own);
   }
   for (const auto &[Link, Child] : this->Children) {
     if (Now - Child.ReceivedAt > this->MaxReportAge)
       continue;
-    Out.heard += Child.Report.heard;
+    Sum.heard += Child.Report.heard;
     for (const auto &Row : Child.Report.counts)
       if (Row->stamp)
-        addCount(Out, *Row->stamp, Row->build, Row->nodes);
+        addCount(Sum, *Row->stamp, Row->build, Row->nodes);
     for (const auto &Row : Child.Report.refusals)
-      addRefusal(Out, *Row);
+      addRefusal(Sum, *Row);
   }
-  return Out;
+  return Sum;
 }
 
 std::vector<wire::FleetReportT> FleetView::fleetReports(TimePoint Now) const {
-  std::vector<wire::FleetReportT> Out{this->report(Now)};
+  std::vector<wire::FleetReportT> Reports{this->report(Now)};
   for (const auto &[Name, Other] : this->OtherDataCentres)
     if (Now - Other.ReceivedAt <= this->MaxReportAge)
-      Out.push_back(Other.Report);
-  return Out;
+      Reports.push_back(Other.Report);
+  return Reports;
 }
 
 } // namespace hickorylift
