--- a/src/spread/SpreadTest.cpp
+++ b/src/spread/SpreadTest.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-DocumentPtr documentOf(uint64_t Version, size_t Entries, size_t Bytes) {
+/// Builds a document with this number of entries of this size.
+DocumentPtr makeDocument(uint64_t Version, size_t Entries, size_t Bytes) {
   EntryMap All;
   for (size_t I = 0; I < Entries; ++I) {
     std::string Name = "e" + std::to_string(I);
@@ -19,38 +20,39 @@
   return Document::make(Version, Version, All);
 }
 
-/// Two neighbours whose frames are handed over by turns.
-struct PairOfNodes {
-  struct Sent {
+/// Two linked nodes. Frames wait in a queue until deliverFrames() delivers
+/// them.
+struct NodePair {
+  struct QueuedFrame {
     int To;
     wire::SpreadFrameT Frame;
   };
 
-  explicit PairOfNodes(Spreader::Options Opts) {
+  explicit NodePair(Spreader::Options Opts) {
     for (int I = 0; I < 2; ++I) {
       Spreader::Hooks Hooks;
       Hooks.Send = [this, I](LinkId, wire::SpreadFrameT Frame) {
-        ++this->Frames[I];
+        ++this->SentFrames[I];
         this->Queue.push_back({1 - I, std::move(Frame)});
       };
       Hooks.Accept = [this, I](const Spreader::ReceivedDocument &, TimePoint) {
         return this->Accepts[I];
       };
       Hooks.CloseDeadLink = [this, I](LinkId, const Error &) {
-        ++this->Condemned[I];
+        ++this->DeadLinks[I];
       };
       this->Nodes[I] = std::make_unique<Spreader>(Opts, Hooks, 1 + I);
     }
   }
 
   void link() {
-    for (auto &One : this->Nodes)
-      One->linkUp(1, "peer", true, this->Now);
+    for (auto &Node : this->Nodes)
+      Node->linkUp(1, "peer", true, this->Now);
   }
 
-  void settle() {
+  void deliverFrames() {
     while (!this->Queue.empty()) {
-      Sent Next = std::move(this->Queue.front());
+      QueuedFrame Next = std::move(this->Queue.front());
       this->Queue.pop_front();
       this->Nodes[Next.To]->receive(1, Next.Frame, this->Now);
     }
@@ -59,158 +61,171 @@
   void run(Millis Length) {
     for (TimePoint End = this->Now + Length; this->Now < End;
          this->Now += Millis(50)) {
-      for (auto &One : this->Nodes)
-        One->tick(this->Now);
-      this->settle();
+      for (auto &Node : this->Nodes)
+        Node->tick(this->Now);
+      this->deliverFrames();
     }
   }
 
   std::unique_ptr<Spreader> Nodes[2];
-  std::deque<Sent> Queue;
+  std::deque<QueuedFrame> Queue;
   bool Accepts[2] = {true, true};
-  int Condemned[2] = {0, 0};
-  int Frames[2] = {0, 0};
+  int DeadLinks[2] = {0, 0};
+  int SentFrames[2] = {0, 0};
   TimePoint Now = TimePoint(std::chrono::hours(1));
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(Spread)
+BOOST_AUTO_TEST_SUITE(SpreaderTests)
 
-BOOST_AUTO_TEST_CASE(SnapshotThenDelta) {
+// Guards against sending a whole document again to a neighbour that has the
+// previous version.
+BOOST_AUTO_TEST_CASE(DeltaIsSentAfterTheFirstSnapshot) {
   Spreader::Options Opts;
-  Opts.MaxPartBytes = 1000; // many pieces
+  Opts.MaxPartBytes = 1000; // many parts
   Opts.MinCompressBytes = 1u << 30;
-  PairOfNodes Both(Opts);
-  Both.Nodes[0]->publish("config", documentOf(1, 50, 300), Both.Now);
-  Both.link();
-  Both.run(Millis(500));
-  BOOST_REQUIRE(Both.Nodes[1]->storedDocument("config"));
-  BOOST_TEST(Both.Nodes[1]->storedDocument("config")->stamp().Version == 1u);
-  uint64_t Before = Both.Nodes[0]->counters().Snapshots;
-  Both.Nodes[0]->publish("config", documentOf(2, 50, 300), Both.Now);
-  Both.settle();
-  BOOST_TEST(Both.Nodes[1]->storedDocument("config")->stamp().Version == 2u);
-  BOOST_TEST(Both.Nodes[0]->counters().Snapshots == Before);
+  NodePair Pair(Opts);
+  Pair.Nodes[0]->publish("config", makeDocument(1, 50, 300), Pair.Now);
+  Pair.link();
+  Pair.run(Millis(500));
+  BOOST_REQUIRE(Pair.Nodes[1]->storedDocument("config"));
+  BOOST_TEST(Pair.Nodes[1]->storedDocument("config")->stamp().Version == 1u);
+  uint64_t Before = Pair.Nodes[0]->counters().Snapshots;
+  Pair.Nodes[0]->publish("config", makeDocument(2, 50, 300), Pair.Now);
+  Pair.deliverFrames();
+  BOOST_TEST(Pair.Nodes[1]->storedDocument("config")->stamp().Version == 2u);
+  BOOST_TEST(Pair.Nodes[0]->counters().Snapshots == Before);
 }
 
-// A node that takes over reading goes on from what its neighbours have told. If
-// it did so while one of their documents is still on its way, that change would
-// never be read, and callers would be sent to an upstream that is gone.
-BOOST_AUTO_TEST_CASE(CompleteIsWhoHoldsAllThatWasTold) {
-  PairOfNodes Both{Spreader::Options()};
-  Both.Nodes[0]->publish("config", documentOf(3, 2, 9), Both.Now);
-  Both.Nodes[0]->publish("list", documentOf(4, 2, 9), Both.Now);
-  Both.Nodes[0]->markComplete(9);
-  Both.link();
-  // The other end has heard of both, and has neither.
-  while (!Both.Queue.empty()) {
-    Both.Queue.front().Frame.payload.AsPart()
+// A node that takes over reading continues from the complete revision of its
+// neighbours. Guards against adopting it while one of their documents has not
+// arrived: that change would never be read, and calls would be sent to an
+// upstream that no longer exists.
+BOOST_AUTO_TEST_CASE(RevisionIsCompleteOnlyWithAllAnnouncedDocuments) {
+  NodePair Pair{Spreader::Options()};
+  Pair.Nodes[0]->publish("config", makeDocument(3, 2, 9), Pair.Now);
+  Pair.Nodes[0]->publish("list", makeDocument(4, 2, 9), Pair.Now);
+  Pair.Nodes[0]->markComplete(9);
+  Pair.link();
+  // Drop all parts: node 1 receives the stamps of both documents, but neither
+  // document.
+  while (!Pair.Queue.empty()) {
+    Pair.Queue.front().Frame.payload.AsPart()
         ? void()
-        : Both.Nodes[Both.Queue.front().To]->receive(
-              1, Both.Queue.front().Frame, Both.Now);
-    Both.Queue.pop_front();
+        : Pair.Nodes[Pair.Queue.front().To]->receive(
+              1, Pair.Queue.front().Frame, Pair.Now);
+    Pair.Queue.pop_front();
   }
-  BOOST_TEST(Both.Nodes[1]->completeRevision() == 0u);
-  Both.Nodes[1]->markComplete(20);
-  BOOST_TEST(Both.Nodes[1]->completeRevision() == 0u);
-  Both.run(Millis(5000));
-  BOOST_TEST(Both.Nodes[1]->completeRevision() == 9u);
+  BOOST_TEST(Pair.Nodes[1]->completeRevision() == 0u);
+  Pair.Nodes[1]->markComplete(20);
+  BOOST_TEST(Pair.Nodes[1]->completeRevision() == 0u);
+  Pair.run(Millis(5000));
+  BOOST_TEST(Pair.Nodes[1]->completeRevision() == 9u);
 }
 
-BOOST_AUTO_TEST_CASE(OlderIsNeitherTakenNorPublished) {
-  PairOfNodes Both{Spreader::Options()};
-  Both.Nodes[0]->publish("config", documentOf(3, 2, 9), Both.Now);
-  BOOST_TEST(!Both.Nodes[0]->publish("config", documentOf(2, 2, 9), Both.Now));
-  Both.Nodes[1]->publish("config", documentOf(1, 2, 9), Both.Now);
-  Both.link();
-  Both.run(Millis(500));
-  BOOST_TEST(Both.Nodes[0]->storedDocument("config")->stamp().Version == 3u);
-  BOOST_TEST(Both.Nodes[1]->storedDocument("config")->stamp().Version == 3u);
+// Guards against replacing a document by an older one, read from the platform
+// or received from a neighbour.
+BOOST_AUTO_TEST_CASE(OlderDocumentNeverReplacesANewerOne) {
+  NodePair Pair{Spreader::Options()};
+  Pair.Nodes[0]->publish("config", makeDocument(3, 2, 9), Pair.Now);
+  BOOST_TEST(
+      !Pair.Nodes[0]->publish("config", makeDocument(2, 2, 9), Pair.Now));
+  Pair.Nodes[1]->publish("config", makeDocument(1, 2, 9), Pair.Now);
+  Pair.link();
+  Pair.run(Millis(500));
+  BOOST_TEST(Pair.Nodes[0]->storedDocument("config")->stamp().Version == 3u);
+  BOOST_TEST(Pair.Nodes[1]->storedDocument("config")->stamp().Version == 3u);
 }
 
-// One end's process dies without closing anything. Its neighbour would go on
-// sending into nothing for as long as TCP tries; it condemns the link instead.
-BOOST_AUTO_TEST_CASE(SilentLinkIsCondemned) {
-  PairOfNodes Both{Spreader::Options()};
-  Both.link();
-  Both.settle();
+// Guards against keeping a link to a process that died without closing it: the
+// neighbour would send into it for as long as TCP retransmits.
+BOOST_AUTO_TEST_CASE(UnresponsiveLinkIsDeclaredDead) {
+  NodePair Pair{Spreader::Options()};
+  Pair.link();
+  Pair.deliverFrames();
   for (int I = 0; I < 200; ++I) {
-    Both.Now += Millis(50);
-    Both.Nodes[0]->tick(Both.Now);
-    Both.Queue.clear();
+    Pair.Now += Millis(50);
+    Pair.Nodes[0]->tick(Pair.Now);
+    Pair.Queue.clear();
   }
-  BOOST_TEST(Both.Condemned[0] > 0);
+  BOOST_TEST(Pair.DeadLinks[0] > 0);
 }
 
-// A herd of empty nodes asks one neighbour for everything. It answers within
-// its budget and puts the rest off; nobody is left without in the end. A short
-// list, by which those who start find others to ask, does not wait behind that.
-BOOST_AUTO_TEST_CASE(SnapshotsAreHandedOutWithinABudget) {
+// Many empty nodes ask one neighbour for all documents at once. It sends
+// snapshots within its rate limit and postpones the rest; in the end all are
+// sent. A short list, from which starting nodes learn of other nodes to ask,
+// does not wait behind larger documents.
+BOOST_AUTO_TEST_CASE(SnapshotsAreSentWithinTheRateLimit) {
   Spreader::Options Opts;
   Opts.SnapshotBytesPerSecond = 100000;
   Opts.SnapshotBurstBytes = 100000;
-  PairOfNodes Both(Opts);
-  Both.Nodes[0]->publish("big", documentOf(1, 10, 30000), Both.Now);
-  Both.Nodes[0]->publish("config", documentOf(1, 10, 30000), Both.Now);
-  Both.Nodes[0]->publish("a-list", documentOf(1, 10, 3000), Both.Now);
-  Both.link();
-  Both.run(Millis(500));
-  bool First = Both.Nodes[1]->storedDocument("big") != nullptr;
-  bool Second = Both.Nodes[1]->storedDocument("config") != nullptr;
+  NodePair Pair(Opts);
+  Pair.Nodes[0]->publish("big", makeDocument(1, 10, 30000), Pair.Now);
+  Pair.Nodes[0]->publish("config", makeDocument(1, 10, 30000), Pair.Now);
+  Pair.Nodes[0]->publish("a-list", makeDocument(1, 10, 3000), Pair.Now);
+  Pair.link();
+  Pair.run(Millis(500));
+  bool First = Pair.Nodes[1]->storedDocument("big") != nullptr;
+  bool Second = Pair.Nodes[1]->storedDocument("config") != nullptr;
   BOOST_TEST(First != Second);
-  BOOST_TEST(Both.Nodes[1]->storedDocument("a-list"));
-  Both.run(Millis(10000));
-  BOOST_TEST(Both.Nodes[1]->storedDocument("big"));
-  BOOST_TEST(Both.Nodes[1]->storedDocument("config"));
+  BOOST_TEST(Pair.Nodes[1]->storedDocument("a-list"));
+  Pair.run(Millis(10000));
+  BOOST_TEST(Pair.Nodes[1]->storedDocument("big"));
+  BOOST_TEST(Pair.Nodes[1]->storedDocument("config"));
 }
 
-BOOST_AUTO_TEST_CASE(AgeIsNeverYoungerThanTheTruth) {
-  PairOfNodes Both{Spreader::Options()};
-  Both.Nodes[0]->publish("config", documentOf(1, 1, 1), Both.Now);
-  TimePoint Asked = Both.Now;
-  Both.Nodes[0]->confirm("config", 1, 1, Asked);
-  Both.link();
-  Both.run(Millis(20000));
-  std::optional<Millis> Age = Both.Nodes[1]->age("config", Both.Now);
+// Guards against an age at a neighbour that is less than the time since the
+// platform was asked, or more than 5 s above it.
+BOOST_AUTO_TEST_CASE(AgeIsNeverLessThanTheTimeSinceConfirmation) {
+  NodePair Pair{Spreader::Options()};
+  Pair.Nodes[0]->publish("config", makeDocument(1, 1, 1), Pair.Now);
+  TimePoint Asked = Pair.Now;
+  Pair.Nodes[0]->confirm("config", 1, 1, Asked);
+  Pair.link();
+  Pair.run(Millis(20000));
+  std::optional<Millis> Age = Pair.Nodes[1]->age("config", Pair.Now);
   BOOST_REQUIRE(Age.has_value());
-  BOOST_TEST(Age->count() >= toMillis(Both.Now - Asked).count());
-  BOOST_TEST(Age->count() <= toMillis(Both.Now - Asked).count() + 5000);
+  BOOST_TEST(Age->count() >= toMillis(Pair.Now - Asked).count());
+  BOOST_TEST(Age->count() <= toMillis(Pair.Now - Asked).count() + 5000);
 }
 
-// A heartbeat lies in the socket of a process that stands still. Counted from
-// its arrival, the list would look as young as it was a minute ago, and a gate
-// would judge keys that are no longer its own. Without the echo it does.
-BOOST_AUTO_TEST_CASE(AgeSurvivesAPause) {
+// A heartbeat waits in the socket of a paused process. Guards against counting
+// the age from its arrival: the list would look a minute newer than it is, and
+// a gate would decide on idempotency keys whose home it no longer is. The
+// second round turns the echo off and expects a wrong age.
+BOOST_AUTO_TEST_CASE(AgeStaysCorrectAfterAProcessPause) {
   for (bool Echoed : {true, false}) {
     Spreader::Options Opts;
     Opts.Guards.EchoedAges = Echoed;
-    PairOfNodes Both(Opts);
-    Both.Nodes[0]->publish("config", documentOf(1, 1, 1), Both.Now);
-    Both.link();
-    Both.run(Millis(5000));
-    Both.Nodes[0]->confirm("config", 1, 1, Both.Now);
-    TimePoint Asked = Both.Now;
-    for (int I = 0; I < 60; ++I) { // node 1 stands still; frames wait
-      Both.Now += Millis(50);
-      Both.Nodes[0]->tick(Both.Now);
+    NodePair Pair(Opts);
+    Pair.Nodes[0]->publish("config", makeDocument(1, 1, 1), Pair.Now);
+    Pair.link();
+    Pair.run(Millis(5000));
+    Pair.Nodes[0]->confirm("config", 1, 1, Pair.Now);
+    TimePoint Asked = Pair.Now;
+    for (int I = 0; I < 60; ++I) { // node 1 is paused; frames wait
+      Pair.Now += Millis(50);
+      Pair.Nodes[0]->tick(Pair.Now);
     }
-    Both.Now += std::chrono::minutes(1);
-    Both.settle();
-    std::optional<Millis> Age = Both.Nodes[1]->age("config", Both.Now);
-    bool True = !Age || Age->count() >= toMillis(Both.Now - Asked).count();
-    BOOST_TEST(True == Echoed);
+    Pair.Now += std::chrono::minutes(1);
+    Pair.deliverFrames();
+    std::optional<Millis> Age = Pair.Nodes[1]->age("config", Pair.Now);
+    bool Correct = !Age || Age->count() >= toMillis(Pair.Now - Asked).count();
+    BOOST_TEST(Correct == Echoed);
   }
 }
 
-BOOST_AUTO_TEST_CASE(PackedChangesComeBack) {
-  for (size_t CompressFrom : {size_t(0), size_t(1) << 30}) {
+// Guards against change sets that differ after packing and unpacking,
+// compressed or not, and against accepting a size beyond the limit.
+BOOST_AUTO_TEST_CASE(ChangeSetSurvivesPackingAndUnpacking) {
+  for (size_t MinCompressBytes : {size_t(0), size_t(1) << 30}) {
     ChangeSet Changes{
         {"a", std::make_shared<const std::string>(std::string(5000, 'x'))},
         {"empty", std::make_shared<const std::string>()},
         {"gone", nullptr}};
     uint32_t RawSize = 0;
-    std::string Packed = packChanges(Changes, CompressFrom, RawSize);
+    std::string Packed = packChanges(Changes, MinCompressBytes, RawSize);
     Result<ChangeSet> Read = unpackChanges(Packed, RawSize, 1 << 20);
     BOOST_REQUIRE(static_cast<bool>(Read));
     BOOST_TEST(Read->size() == 3u);
@@ -221,9 +236,10 @@
   BOOST_TEST(!unpackChanges("x", 1u << 30, 1 << 20));
 }
 
-// Bytes from a peer that speaks rubbish: refused or read, never a crash. The
-// seeds are fixed; half of the inputs are good frames with bytes changed.
-BOOST_AUTO_TEST_CASE(DecoderSurvivesRubbish) {
+// Guards against a crash on malformed frames from a peer: each is refused or
+// decoded. The seed is fixed; half of the inputs are valid frames with some
+// bytes changed.
+BOOST_AUTO_TEST_CASE(DecoderDoesNotCrashOnMalformedFrames) {
   std::mt19937 Random(3);
   Safeguards Unsealed;
   Unsealed.CheckFrames = false;
@@ -248,7 +264,9 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(FleetCountsGoUpAndOldOnesDrop) {
+// Guards against a root that does not add its children's reports to its own,
+// and against counting nodes whose last report is too old.
+BOOST_AUTO_TEST_CASE(RootAddsUpReportsAndDropsOutdatedOnes) {
   TimePoint Now{};
   FleetView Child("north", "child", 1, Millis(1000));
   FleetView Root("north", "root", 1, Millis(1000));
