--- a/src/spread/Codec.cpp
+++ b/src/spread/Codec.cpp
@@ -4,12 +4,17 @@
 
 #include <zstd.h>
 
+// Encoding of spread frames and change sets. A change set is a FlatBuffer,
+// compressed with zstd if that makes it smaller. Decoding trusts nothing that
+// was received: the decompressed size is limited before memory is allocated,
+// and the buffer is verified before it is read.
+
 namespace hickorylift {
 
 namespace {
 
-// Level 3 halves the association's bytes at a cost that one push an hour, or
-// one in four seconds, does not feel; see docs/design/spread.md.
+// Level 3 halves the size of the association. Its CPU cost is negligible at one
+// push per hour, and even at one per four seconds; see docs/design/spread.md.
 constexpr int CompressionLevel = 3;
 
 Error badMessage(const std::string &Detail) {
@@ -37,15 +42,15 @@
   return unpackFrame<wire::SpreadFrame>(Sealed, Guards);
 }
 
-std::string packChanges(const ChangeSet &Changes, size_t CompressFrom,
+std::string packChanges(const ChangeSet &Changes, size_t MinCompressBytes,
                         uint32_t &RawSize) {
   wire::WireChangeSetT Set;
-  for (const Change &One : Changes) {
+  for (const Change &Entry : Changes) {
     auto Wire = std::make_unique<wire::WireChangeT>();
-    Wire->name = One.Name;
-    Wire->removed = !One.Bytes;
-    if (One.Bytes)
-      Wire->bytes.assign(One.Bytes->begin(), One.Bytes->end());
+    Wire->name = Entry.Name;
+    Wire->removed = !Entry.Bytes;
+    if (Entry.Bytes)
+      Wire->bytes.assign(Entry.Bytes->begin(), Entry.Bytes->end());
     Set.changes.push_back(std::move(Wire));
   }
   flatbuffers::FlatBufferBuilder Builder;
@@ -53,7 +58,7 @@
   std::string Raw(reinterpret_cast<const char *>(Builder.GetBufferPointer()),
                   Builder.GetSize());
   RawSize = 0;
-  if (Raw.size() < CompressFrom)
+  if (Raw.size() < MinCompressBytes)
     return Raw;
   std::string Packed = compress(Raw);
   if (Packed.size() >= Raw.size())
@@ -73,7 +78,7 @@
     size_t Size =
         ZSTD_decompress(Raw.data(), Raw.size(), Bytes.data(), Bytes.size());
     if (ZSTD_isError(Size) || Size != RawSize)
-      return badMessage("change set does not decompress");
+      return badMessage("change set cannot be decompressed");
   } else {
     Raw.assign(Bytes);
   }
@@ -81,21 +86,22 @@
                               Raw.size(), /*max_depth=*/16,
                               /*max_tables=*/1u << 24);
   if (!Check.VerifyBuffer<wire::WireChangeSet>(nullptr))
-    return badMessage("change set does not verify");
+    return badMessage("change set fails verification");
   const auto *Set = flatbuffers::GetRoot<wire::WireChangeSet>(Raw.data());
   ChangeSet Changes;
   if (!Set->changes())
     return Changes;
-  for (const wire::WireChange *One : *Set->changes()) {
-    if (!One->name())
-      return badMessage("change without a name");
-    Change Read{One->name()->str(), nullptr};
-    if (!One->removed()) {
-      const auto *Held = One->bytes();
-      Read.Bytes = std::make_shared<const std::string>(
-          Held ? std::string(Held->begin(), Held->end()) : std::string());
+  for (const wire::WireChange *Entry : *Set->changes()) {
+    if (!Entry->name())
+      return badMessage("change has no name");
+    Change Decoded{Entry->name()->str(), nullptr};
+    if (!Entry->removed()) {
+      const auto *Content = Entry->bytes();
+      Decoded.Bytes = std::make_shared<const std::string>(
+          Content ? std::string(Content->begin(), Content->end())
+                  : std::string());
     }
-    Changes.push_back(std::move(Read));
+    Changes.push_back(std::move(Decoded));
   }
   return Changes;
 }
--- a/src/spread/Frames.h
+++ b/src/spread/Frames.h
@@ -6,25 +6,27 @@
 
 #include <memory>
 
-// How a Spreader's stamps and payloads look in frames. For the slice's own
-// sources only.
+// Conversions between Spreader's stamps and payloads and the frames on the
+// wire. For the sources and tests of this folder and for tests that build
+// frames.
 //
-//   this->Hook.Send(To, frameOf(std::move(Announce)));
+//   this->Hook.Send(To, makeFrame(std::move(Announce)));
 
 namespace hickorylift {
 
-inline wire::Stamp toWire(const Stamp &Of) {
-  return {Of.Version, Of.Revision, Of.Hash};
+inline wire::Stamp toWire(const Stamp &Value) {
+  return {Value.Version, Value.Revision, Value.Hash};
 }
 
-inline Stamp fromWire(const wire::Stamp *Of) {
-  if (!Of)
+/// Returns the null stamp if Value is null.
+inline Stamp fromWire(const wire::Stamp *Value) {
+  if (!Value)
     return {};
-  return {Of->version(), Of->revision(), Of->hash()};
+  return {Value->version(), Value->revision(), Value->hash()};
 }
 
-inline std::unique_ptr<wire::Stamp> makeWireStamp(const Stamp &Of) {
-  return std::make_unique<wire::Stamp>(toWire(Of));
+inline std::unique_ptr<wire::Stamp> makeWireStamp(const Stamp &Value) {
+  return std::make_unique<wire::Stamp>(toWire(Value));
 }
 
 template <typename PayloadT> wire::SpreadFrameT makeFrame(PayloadT Payload) {
@@ -33,7 +35,8 @@
   return Frame;
 }
 
-/// Of no document, the stamp below all others.
+/// Returns the document's stamp. A null document has the null stamp, which
+/// orders before all others.
 inline Stamp stampOrNull(const DocumentPtr &Doc) {
   return Doc ? Doc->stamp() : Stamp();
 }
--- a/src/spread/Repair.cpp
+++ b/src/spread/Repair.cpp
@@ -1,33 +1,35 @@
 #include "spread/Frames.h"
 #include "spread/Spreader.h"
 
-// The lazy half of a Spreader: what a neighbour tells of a newer document, and
-// asking for it. One pull for each topic is under way at a time; where it stays
-// unanswered, or its link is lost, another that has the document is asked. A
-// document comes in parts, in order over one link, and counts only once it is
-// whole and has the hash that was stated.
+// The pull half of Spreader: it handles stamps that neighbours report, and
+// pulls the documents that this node lacks. Each topic has at most one pull at
+// a time; if it stays unanswered or its link is lost, another neighbour that
+// has the document is asked. A document arrives in parts, in order over one
+// link, and is used only once it is complete and has the stated hash.
 
 namespace hickorylift {
 
 void Spreader::onNeighbourStamp(LinkId From, const std::string &Name,
-                                const Stamp &Theirs, TimePoint Now) {
-  TopicOnLink &There = this->Links[From].Topics[Name];
-  There.NeighbourStamp = std::max(There.NeighbourStamp, Theirs);
+                                const Stamp &Reported, TimePoint Now) {
+  TopicOnLink &OnLink = this->Links[From].Topics[Name];
+  OnLink.NeighbourStamp = std::max(OnLink.NeighbourStamp, Reported);
   TopicState &State = this->Topics[Name];
   Stamp Ours = stampOrNull(State.Stored);
   if (!this->Opts.Guards.RepairByStamps)
     return;
-  if (Theirs > Ours) {
-    // Nobody pushes to a node what it never had: there is nothing to wait for.
+  if (Reported > Ours) {
+    // Neighbours do not push a document to a node that has never had a version
+    // of it, so there is no push to wait for.
     Millis Delay = State.Stored ? this->Opts.GraftDelay : Millis(0);
     this->schedulePull(From, Name, Now + Delay);
     if (!State.Stored)
       this->advancePull(Name, State, Now);
     return;
   }
-  // The neighbour is behind: it was away, or a push was lost. It will hear our
-  // stamp in a heartbeat at the latest; telling it now saves that wait.
-  if (Theirs < Ours && State.Stored) {
+  // The neighbour has an older document: it was disconnected, or a push was
+  // lost. It receives this node's stamp in a heartbeat at the latest;
+  // announcing it now saves that wait.
+  if (Reported < Ours && State.Stored) {
     wire::AnnounceT Announce;
     Announce.topic = Name;
     Announce.held = makeWireStamp(Ours);
@@ -52,26 +54,29 @@
   wire::PullT Pull;
   Pull.topic = Name;
   Pull.have = makeWireStamp(stampOrNull(State.Stored));
-  // Held but not accepted, and nothing older in force: a node that starts
-  // after a bad version was published would serve nothing for ever.
+  // This node stores a document that it did not accept, and has accepted no
+  // older one: ask for an older one as well. Otherwise a node that starts after
+  // a bad version was published would serve nothing forever.
   if (State.Stored && !State.Accepted && this->Opts.Guards.AskOlder)
     Pull.below = makeWireStamp(State.Stored->stamp());
   this->Hook.Send(To, makeFrame(std::move(Pull)));
   ++this->Counts.Pulls;
 }
 
+// Returns a random link to a neighbour with a newer document. Excluded is
+// returned only if there is no other.
 std::optional<LinkId> Spreader::chooseLinkWithNewer(const TopicState &State,
                                                     const std::string &Name,
-                                                    LinkId NotThis) {
-  std::vector<LinkId> Fit;
-  for (auto &[Id, On] : this->Links)
-    if (Id != NotThis &&
-        On.Topics[Name].NeighbourStamp > stampOrNull(State.Stored))
-      Fit.push_back(Id);
-  if (!Fit.empty())
-    return Fit[this->Random() % Fit.size()];
-  if (this->Links.count(NotThis))
-    return NotThis;
+                                                    LinkId Excluded) {
+  std::vector<LinkId> Candidates;
+  for (auto &[Id, LinkState] : this->Links)
+    if (Id != Excluded &&
+        LinkState.Topics[Name].NeighbourStamp > stampOrNull(State.Stored))
+      Candidates.push_back(Id);
+  if (!Candidates.empty())
+    return Candidates[this->Random() % Candidates.size()];
+  if (this->Links.count(Excluded))
+    return Excluded;
   return std::nullopt;
 }
 
@@ -80,12 +85,13 @@
   if (!State.NextPullAt) {
     if (!State.Stored || State.Accepted || this->Links.empty())
       return;
-    auto Any = this->Links.begin();
-    std::advance(Any, this->Random() % this->Links.size());
-    this->sendPull(Any->first, Name, State);
+    // No version was accepted yet: ask a random neighbour for an older one.
+    auto Chosen = this->Links.begin();
+    std::advance(Chosen, this->Random() % this->Links.size());
+    this->sendPull(Chosen->first, Name, State);
     State.NextPullAt = Now + this->Opts.PullTimeout;
     State.PullSent = true;
-    State.PullFrom = Any->first;
+    State.PullFrom = Chosen->first;
     return;
   }
   if (Now < *State.NextPullAt)
@@ -96,7 +102,8 @@
     State.NextPullAt = Now + this->Opts.PullTimeout;
     return;
   }
-  // Unanswered or its link is gone: ask another that has it.
+  // The pull was not answered or its link was closed: ask another neighbour
+  // that has the document.
   auto Next = this->chooseLinkWithNewer(State, Name, State.PullFrom);
   State.NextPullAt.reset();
   if (Next)
@@ -105,14 +112,14 @@
 
 void Spreader::onPull(LinkId From, const wire::PullT &Pull, TimePoint Now) {
   TopicState &State = this->Topics[Pull.topic];
-  TopicOnLink &There = this->Links[From].Topics[Pull.topic];
-  There.Lazy = false;
+  TopicOnLink &OnLink = this->Links[From].Topics[Pull.topic];
+  OnLink.Lazy = false;
   Stamp Have = fromWire(Pull.have.get());
   Stamp Below = fromWire(Pull.below.get());
   if (State.Stored && State.Stored->stamp() > Have) {
     this->sendDocument(From, Pull.topic, State.Stored, Have, /*Asked=*/true,
                        Now);
-    There.NeighbourStamp = State.Stored->stamp();
+    OnLink.NeighbourStamp = State.Stored->stamp();
     return;
   }
   if (!Below.isNull() && State.Accepted && State.Accepted->stamp() < Below)
@@ -120,51 +127,53 @@
                        /*Asked=*/true, Now);
 }
 
-void Spreader::onPart(LinkId From, Link &On, const wire::PartT &Part,
+void Spreader::onPart(LinkId From, Link &LinkState, const wire::PartT &Part,
                       TimePoint Now) {
   TopicState &State = this->Topics[Part.topic];
-  TopicOnLink &There = On.Topics[Part.topic];
+  TopicOnLink &OnLink = LinkState.Topics[Part.topic];
   Stamp Target = fromWire(Part.target.get());
-  There.NeighbourStamp = std::max(There.NeighbourStamp, Target);
-  bool Wanted = State.Stored && !State.Accepted;
-  if (this->isOutdated(Target, State.Stored) && !Wanted) {
+  OnLink.NeighbourStamp = std::max(OnLink.NeighbourStamp, Target);
+  bool WantsOlder = State.Stored && !State.Accepted;
+  if (this->isOutdated(Target, State.Stored) && !WantsOlder) {
     if (Part.index + 1 != Part.count)
       return;
-    // It came another way first: this link need only announce.
+    // The document has already arrived over another link, so this link becomes
+    // lazy: the neighbour need only announce on it.
     ++this->Counts.Duplicates;
     wire::PruneT Prune;
     Prune.topic = Part.topic;
     this->Hook.Send(From, makeFrame(std::move(Prune)));
     return;
   }
-  PartialChangeSet &Gathered = There.Incoming;
+  PartialChangeSet &Partial = OnLink.Incoming;
   if (Part.index == 0) {
-    Gathered = PartialChangeSet();
-    Gathered.Base = fromWire(Part.base.get());
-    Gathered.Target = Target;
-    Gathered.PartCount = Part.count;
-    Gathered.RawSize = Part.raw_size;
+    Partial = PartialChangeSet();
+    Partial.Base = fromWire(Part.base.get());
+    Partial.Target = Target;
+    Partial.PartCount = Part.count;
+    Partial.RawSize = Part.raw_size;
   }
-  bool Follows = Gathered.Target == Target && Gathered.NextPart == Part.index &&
-                 Gathered.PartCount == Part.count;
+  bool Follows = Partial.Target == Target && Partial.NextPart == Part.index &&
+                 Partial.PartCount == Part.count;
   bool Fits =
-      Gathered.Bytes.size() + Part.bytes.size() <= this->Opts.MaxChangeSetBytes;
+      Partial.Bytes.size() + Part.bytes.size() <= this->Opts.MaxChangeSetBytes;
   if (!Follows || !Fits) {
     ++this->Counts.Damaged;
-    Gathered = PartialChangeSet();
+    Partial = PartialChangeSet();
     return;
   }
-  Gathered.Bytes.append(Part.bytes.begin(), Part.bytes.end());
-  ++Gathered.NextPart;
-  // Still arriving: do not ask another for the same.
+  Partial.Bytes.append(Part.bytes.begin(), Part.bytes.end());
+  ++Partial.NextPart;
+  // The document is still arriving: put off asking another neighbour for it.
   if (State.NextPullAt && State.PullFrom == From)
     State.NextPullAt = Now + this->Opts.PullTimeout;
-  if (Gathered.NextPart == Gathered.PartCount)
-    this->applyChangeSet(From, On, Part.topic,
-                         std::exchange(Gathered, PartialChangeSet()), Now);
+  if (Partial.NextPart == Partial.PartCount)
+    this->applyChangeSet(From, LinkState, Part.topic,
+                         std::exchange(Partial, PartialChangeSet()), Now);
 }
 
-void Spreader::applyChangeSet(LinkId From, Link &On, const std::string &Name,
+void Spreader::applyChangeSet(LinkId From, Link &LinkState,
+                              const std::string &Name,
                               const PartialChangeSet &Whole, TimePoint Now) {
   TopicState &State = this->Topics[Name];
   DocumentPtr Base;
@@ -173,8 +182,8 @@
                ? State.Stored
                : this->findDeltaBase(State, Whole.Base);
     if (!Base) {
-      // A delta to something that we never had: ask again, stating what we
-      // have, and get a snapshot.
+      // The base of this delta is not stored here. Pull again: the pull states
+      // what is stored, and the neighbour answers with a snapshot.
       ++this->Counts.Damaged;
       State.NextPullAt.reset();
       this->schedulePull(From, Name, Now);
@@ -193,9 +202,9 @@
     return;
   }
   if (!this->isOutdated((*Doc)->stamp(), State.Stored))
-    this->storeDocument(Name, *Doc, On.Peer, From, Now);
+    this->storeDocument(Name, *Doc, LinkState.Peer, From, Now);
   else
-    this->offerForAcceptance(Name, State, *Doc, On.Peer, Now);
+    this->offerForAcceptance(Name, State, *Doc, LinkState.Peer, Now);
 }
 
 } // namespace hickorylift
--- a/src/spread/Spreader.cpp
+++ b/src/spread/Spreader.cpp
@@ -6,27 +6,29 @@
 #include <algorithm>
 
 // Eager push with lazy repair, after Plumtree (Leitao, Pereira, Rodrigues:
-// "Epidemic Broadcast Trees", 2007). A new document goes at once, as a delta,
-// over the eager links, and its stamp alone over the lazy ones. A node that
-// hears a stamp which it lacks waits a moment for the push and then pulls from
-// whoever told it; that link becomes eager. A document that comes twice makes
-// the later link lazy. Heartbeats repeat the stamps whenever they have changed,
-// so whatever was lost is found again within one interval.
+// "Epidemic Broadcast Trees", 2007). A new document is sent at once, as a
+// delta, over the eager links, and only its stamp over the lazy ones. A node
+// that receives a stamp newer than its own waits briefly for the push and then
+// pulls the document from the neighbour that announced it; that link becomes
+// eager. If a document arrives twice, the later link becomes lazy. Heartbeats
+// repeat the stamps whenever they have changed, so a lost document is repaired
+// within one heartbeat interval.
 //
-// Why the order holds: the only assignments to Held and to Accepted are in
-// take() and judge(), and both compare stamps first. A stale platform, a late
-// frame and a neighbour that returns with an old document all end there.
+// A document is never replaced by an older one: only storeDocument() assigns
+// Stored and only offerForAcceptance() assigns Accepted, and both compare
+// stamps first. This covers a platform that serves an outdated copy, a delayed
+// frame, and a neighbour that reconnects with an old document.
 //
-// Why nothing is taken in part: parts are gathered aside, must come in order
-// from one link, and only a change set whose outcome has the stated hash
-// becomes a document (applyDelta).
+// A document is never stored in part: its parts are collected separately, must
+// arrive in order over one link, and become a document only if the result has
+// the stated hash (applyDelta).
 
 namespace hickorylift {
 
 namespace {
 
-// Heartbeats whose echo may still be under way on one link.
-constexpr size_t KeptSendTimes = 16;
+// Send times kept per link, for heartbeats whose echo has not arrived yet.
+constexpr size_t MaxHeartbeatSendTimes = 16;
 
 } // namespace
 
@@ -45,35 +47,37 @@
   return true;
 }
 
-// A node that starts holds nothing and would take whatever the platform says,
-// were it an old copy. If a neighbour is known to hold something newer, that is
-// already on its way.
+// A node that has just started stores no documents and would accept even an
+// outdated copy from the platform. If a neighbour is known to have a newer
+// document, that one is already being sent to this node.
 bool Spreader::neighbourHasNewer(const std::string &Topic,
                                  const Stamp &Than) const {
   if (!this->Opts.Guards.KeepOrder)
     return false;
-  for (const auto &[Id, On] : this->Links) {
-    auto Found = On.Topics.find(Topic);
-    if (Found != On.Topics.end() && Found->second.NeighbourStamp > Than)
+  for (const auto &[Id, LinkState] : this->Links) {
+    auto Found = LinkState.Topics.find(Topic);
+    if (Found != LinkState.Topics.end() && Found->second.NeighbourStamp > Than)
       return true;
   }
   return false;
 }
 
-bool Spreader::hasAllDocumentsOf(const Link &On) const {
-  return std::all_of(On.Topics.begin(), On.Topics.end(), [&](const auto &One) {
-    return One.second.NeighbourStamp <=
-           stampOrNull(this->storedDocument(One.first));
-  });
+bool Spreader::hasAllDocumentsOf(const Link &Neighbour) const {
+  return std::all_of(Neighbour.Topics.begin(), Neighbour.Topics.end(),
+                     [&](const auto &Topic) {
+                       return Topic.second.NeighbourStamp <=
+                              stampOrNull(this->storedDocument(Topic.first));
+                     });
 }
 
-// A neighbour may have told of something newer that is still on its way here.
+// A neighbour may have reported a newer document that has not arrived yet. Then
+// the revision is not recorded.
 void Spreader::markComplete(uint64_t Revision) {
-  bool HoldsAll =
-      std::all_of(this->Links.begin(), this->Links.end(), [&](const auto &One) {
-        return this->hasAllDocumentsOf(One.second);
-      });
-  if (HoldsAll)
+  bool HasAll = std::all_of(this->Links.begin(), this->Links.end(),
+                            [&](const auto &Neighbour) {
+                              return this->hasAllDocumentsOf(Neighbour.second);
+                            });
+  if (HasAll)
     this->CompleteRevision = std::max(this->CompleteRevision, Revision);
 }
 
@@ -82,8 +86,8 @@
 }
 
 bool Spreader::hasNeighbourState() const {
-  for (const auto &[Id, On] : this->Links)
-    if (On.ReceivedSeq != 0)
+  for (const auto &[Id, LinkState] : this->Links)
+    if (LinkState.ReceivedSeq != 0)
       return true;
   return false;
 }
@@ -91,18 +95,18 @@
 void Spreader::confirm(const std::string &Topic, uint64_t Version,
                        uint64_t Revision, TimePoint AskedAt) {
   auto &State = this->Topics[Topic];
-  Stamp Held = stampOrNull(State.Stored);
-  if (!State.Stored || Held.Version != Version || Held.Revision != Revision)
+  Stamp Stored = stampOrNull(State.Stored);
+  if (!State.Stored || Stored.Version != Version || Stored.Revision != Revision)
     return;
   if (!State.ConfirmedAt || *State.ConfirmedAt < AskedAt)
     State.ConfirmedAt = AskedAt;
 }
 
 void Spreader::resync(TimePoint Now) {
-  for (auto &[Id, On] : this->Links) {
-    On.LastSentDigest = 0;
-    On.LastReceivedAt = Now;
-    this->sendHeartbeat(Id, On, Now);
+  for (auto &[Id, LinkState] : this->Links) {
+    LinkState.LastSentDigest = 0;
+    LinkState.LastReceivedAt = Now;
+    this->sendHeartbeat(Id, LinkState, Now);
   }
 }
 
@@ -114,13 +118,13 @@
 
 void Spreader::linkUp(LinkId Id, const std::string &Peer, bool Eager,
                       TimePoint Now) {
-  Link &On = this->Links[Id];
-  On = Link();
-  On.Peer = Peer;
-  On.Eager = Eager;
-  On.LastReceivedAt = Now;
-  On.NextHeartbeatAt = Now;
-  this->sendHeartbeat(Id, On, Now);
+  Link &LinkState = this->Links[Id];
+  LinkState = Link();
+  LinkState.Peer = Peer;
+  LinkState.Eager = Eager;
+  LinkState.LastReceivedAt = Now;
+  LinkState.NextHeartbeatAt = Now;
+  this->sendHeartbeat(Id, LinkState, Now);
 }
 
 void Spreader::linkDown(LinkId Id) {
@@ -129,7 +133,7 @@
     if (State.PullFrom != Id)
       continue;
     State.PullSent = false;
-    // Whoever else has it is asked in the next tick.
+    // The next tick asks another neighbour that has the document.
     if (State.NextPullAt)
       State.NextPullAt = TimePoint();
   }
@@ -153,10 +157,10 @@
   return toMillis(Now - *Found->second.ConfirmedAt);
 }
 
-bool Spreader::isOutdated(const Stamp &New, const DocumentPtr &Than) const {
+bool Spreader::isOutdated(const Stamp &New, const DocumentPtr &Current) const {
   if (!this->Opts.Guards.KeepOrder)
-    return New == stampOrNull(Than);
-  return New <= stampOrNull(Than);
+    return New == stampOrNull(Current);
+  return New <= stampOrNull(Current);
 }
 
 void Spreader::storeDocument(const std::string &Name, const DocumentPtr &Doc,
@@ -170,12 +174,13 @@
   while (State.DeltaBases.size() > this->Opts.MaxDeltaBases)
     State.DeltaBases.pop_front();
   State.Stored = Doc;
-  // Nobody has confirmed the new one yet.
+  // The platform has not confirmed the new document yet.
   State.ConfirmedAt.reset();
   State.NextPullAt.reset();
   State.PullSent = false;
-  // Hand on before judging: the neighbours' wait should not include our
-  // compiling, and a version that this build refuses may suit another.
+  // Forward the document before checking it: the neighbours should not wait for
+  // this node to compile it, and a version that this build refuses may be
+  // accepted by another.
   this->forwardDocument(Name, Source, Now);
   this->offerForAcceptance(Name, State, Doc, From, Now);
 }
@@ -192,14 +197,14 @@
 void Spreader::forwardDocument(const std::string &Name,
                                std::optional<LinkId> Source, TimePoint Now) {
   const DocumentPtr Doc = this->Topics[Name].Stored;
-  for (auto &[Id, On] : this->Links) {
-    TopicOnLink &There = On.Topics[Name];
-    if (Source == Id || There.NeighbourStamp >= Doc->stamp())
+  for (auto &[Id, LinkState] : this->Links) {
+    TopicOnLink &OnLink = LinkState.Topics[Name];
+    if (Source == Id || OnLink.NeighbourStamp >= Doc->stamp())
       continue;
-    if (!There.Lazy.value_or(!On.Eager)) {
-      this->sendDocument(Id, Name, Doc, There.NeighbourStamp, /*Asked=*/false,
+    if (!OnLink.Lazy.value_or(!LinkState.Eager)) {
+      this->sendDocument(Id, Name, Doc, OnLink.NeighbourStamp, /*Asked=*/false,
                          Now);
-      There.NeighbourStamp = Doc->stamp();
+      OnLink.NeighbourStamp = Doc->stamp();
       continue;
     }
     wire::AnnounceT Announce;
@@ -226,8 +231,9 @@
   const TopicState &State = this->Topics[Name];
   if (DocumentPtr Base = this->findDeltaBase(State, Have))
     return this->sendParts(To, Name, Base, Doc);
-  // A snapshot. Unless the neighbour asked, it may well get a delta from
-  // someone else, so tell it the stamp and let it decide.
+  // Without a base only a snapshot can be sent. A neighbour that has an older
+  // version and did not ask may get a delta from another node, so announce the
+  // stamp and let the neighbour decide.
   if (!Asked && !Have.isNull()) {
     wire::AnnounceT Announce;
     Announce.topic = Name;
@@ -250,17 +256,19 @@
   this->sendParts(To, Name, nullptr, Doc);
 }
 
-// A herd of empty nodes asks for everything at once. Without a bound the
-// answers fill this node's memory and delay its heartbeats until its links are
-// condemned, and the herd starts over. A debt is allowed, so that a document
-// larger than the burst still goes out, one at a time.
+// Limits the rate of snapshots. Many empty nodes that start at once ask for all
+// documents at once. Without a limit, the answers fill this node's memory and
+// delay its heartbeats until its links are declared dead, and all those nodes
+// start over. The bucket may go into debt, so that a document larger than the
+// burst is still sent, one at a time.
 bool Spreader::takeSnapshotBudget(size_t Bytes, TimePoint Now) {
   return Bytes <= this->Opts.UnmeteredSnapshotBytes ||
          this->SnapshotBudget.takeWithDebt(Now, static_cast<double>(Bytes));
 }
 
-// The children of one node mostly hold the same version, and those who start
-// hold none: what was packed for the first serves the others.
+// Returns the encoded changes from Base to Target, reusing those encoded last.
+// The children of a node mostly have the same version, and starting nodes have
+// none, so one encoding serves most of them.
 const Spreader::PackedChangeSet &
 Spreader::packOrReuse(const std::string &Name, const DocumentPtr &Base,
                       const DocumentPtr &Target) {
@@ -298,28 +306,28 @@
 }
 
 uint64_t Spreader::digest() const {
-  uint64_t Sum = 1;
+  uint64_t Digest = 1;
   for (const auto &[Name, State] : this->Topics) {
-    Stamp Held = stampOrNull(State.Stored);
-    Sum = combineHash(Sum, contentHash(Name));
-    Sum = combineHash(Sum, combineHash(Held.Version, Held.Revision));
-    Sum = combineHash(Sum, Held.Hash);
+    Stamp Stored = stampOrNull(State.Stored);
+    Digest = combineHash(Digest, contentHash(Name));
+    Digest = combineHash(Digest, combineHash(Stored.Version, Stored.Revision));
+    Digest = combineHash(Digest, Stored.Hash);
   }
-  return Sum;
+  return Digest;
 }
 
-void Spreader::sendHeartbeat(LinkId To, Link &On, TimePoint Now) {
+void Spreader::sendHeartbeat(LinkId To, Link &LinkState, TimePoint Now) {
   wire::HeartbeatT Beat;
   uint64_t Digest = this->digest();
-  bool Full = Digest != On.LastSentDigest;
-  On.LastSentDigest = Digest;
+  bool WithStamps = Digest != LinkState.LastSentDigest;
+  LinkState.LastSentDigest = Digest;
   for (const auto &[Name, State] : this->Topics) {
     if (!State.Stored)
       continue;
     uint32_t AgeMs = UINT32_MAX;
     if (State.ConfirmedAt)
       AgeMs = static_cast<uint32_t>(toMillis(Now - *State.ConfirmedAt).count());
-    if (!Full) {
+    if (!WithStamps) {
       Beat.ages_ms.push_back(AgeMs);
       continue;
     }
@@ -330,60 +338,64 @@
     Beat.topics.push_back(std::move(Item));
   }
   Beat.report = this->Hook.MakeReport(To);
-  Beat.seq = ++On.SentSeq;
-  Beat.echo = On.ReceivedSeq;
+  Beat.seq = ++LinkState.SentSeq;
+  Beat.echo = LinkState.ReceivedSeq;
   Beat.complete_at = this->CompleteRevision;
   if (this->EarliestEra)
     Beat.first_era = *this->EarliestEra;
-  On.HeartbeatsSentAt.push_back(Now);
-  if (On.HeartbeatsSentAt.size() > KeptSendTimes)
-    On.HeartbeatsSentAt.pop_front();
+  LinkState.HeartbeatsSentAt.push_back(Now);
+  if (LinkState.HeartbeatsSentAt.size() > MaxHeartbeatSendTimes)
+    LinkState.HeartbeatsSentAt.pop_front();
   this->Hook.Send(To, makeFrame(std::move(Beat)));
   ++this->Counts.Heartbeats;
-  // Spread by a fifth, so that nodes started together drift apart.
+  // The interval varies over a range of a fifth, so that nodes that started
+  // together do not send at the same times.
   double Jitter = std::uniform_real_distribution<>(0.9, 1.1)(this->Random);
-  On.NextHeartbeatAt =
+  LinkState.NextHeartbeatAt =
       Now + std::chrono::duration_cast<Clock::duration>(
                 std::chrono::duration<double, std::milli>(
                     Jitter * this->Opts.HeartbeatInterval.count()));
 }
 
-// The sender wrote the age after it had our heartbeat, so after ComposedAfter,
-// the time at which we sent that one. Counting from there, and not from the
-// arrival, keeps the age true when the bytes lay in a socket while this process
-// was paused: a list that looks young then lets a gate judge keys that are no
-// longer its own. The price is one heartbeat of extra age for each hop.
-void Spreader::updateConfirmedAt(const std::string &Name, const Stamp &Theirs,
+// Updates a document's age from a neighbour's heartbeat. The sender wrote the
+// age after it had received a heartbeat of this node, so after ComposedAfter,
+// the time at which that one was sent. Counting from there, and not from the
+// arrival, keeps the age correct if the bytes waited in a socket while this
+// process was paused. Otherwise a list would look too new, and a gate would
+// decide on idempotency keys whose home it no longer is. The cost is one
+// heartbeat interval of extra age per hop.
+void Spreader::updateConfirmedAt(const std::string &Name, const Stamp &Reported,
                                  uint32_t AgeMs, TimePoint ComposedAfter) {
   auto Found = this->Topics.find(Name);
   if (Found == this->Topics.end() || !Found->second.Stored ||
-      Found->second.Stored->stamp() != Theirs || AgeMs == UINT32_MAX)
+      Found->second.Stored->stamp() != Reported || AgeMs == UINT32_MAX)
     return;
   TimePoint At = ComposedAfter - Millis(AgeMs);
-  auto &Known = Found->second.ConfirmedAt;
-  if (!Known || *Known < At)
-    Known = At;
+  auto &ConfirmedAt = Found->second.ConfirmedAt;
+  if (!ConfirmedAt || *ConfirmedAt < At)
+    ConfirmedAt = At;
 }
 
 void Spreader::tick(TimePoint Now) {
   Clock::duration Passed =
       this->LastTick ? Now - *this->LastTick : Clock::duration::zero();
   this->LastTick = Now;
-  // After a pause every link looks silent though only we were. Start the
-  // count afresh: a link that really is dead is found one limit later.
+  // After a pause of this process every link looks unresponsive. Restart the
+  // liveness timeouts; a link that really is dead is detected one
+  // LivenessTimeout later.
   if (Passed > this->Opts.PauseThreshold)
     this->resync(Now);
-  std::vector<LinkId> Silent;
-  for (auto &[Id, On] : this->Links) {
-    if (Now - On.LastReceivedAt > this->Opts.LivenessTimeout)
-      Silent.push_back(Id);
-    else if (Now >= On.NextHeartbeatAt)
-      this->sendHeartbeat(Id, On, Now);
+  std::vector<LinkId> Unresponsive;
+  for (auto &[Id, LinkState] : this->Links) {
+    if (Now - LinkState.LastReceivedAt > this->Opts.LivenessTimeout)
+      Unresponsive.push_back(Id);
+    else if (Now >= LinkState.NextHeartbeatAt)
+      this->sendHeartbeat(Id, LinkState, Now);
   }
-  for (LinkId Id : Silent)
-    this->Hook.CloseDeadLink(Id,
-                             Error{Errc::Timeout, "heartbeat",
-                                   this->Links[Id].Peer, "link went silent"});
+  for (LinkId Id : Unresponsive)
+    this->Hook.CloseDeadLink(Id, Error{Errc::Timeout, "heartbeat",
+                                       this->Links[Id].Peer,
+                                       "no frame within the liveness timeout"});
   for (auto &[Name, State] : this->Topics)
     this->advancePull(Name, State, Now);
 }
@@ -393,19 +405,19 @@
   auto Found = this->Links.find(From);
   if (Found == this->Links.end())
     return;
-  Link &On = Found->second;
-  On.LastReceivedAt = Now;
+  Link &LinkState = Found->second;
+  LinkState.LastReceivedAt = Now;
   if (const auto *Beat = Frame.payload.AsHeartbeat())
-    return this->onHeartbeat(From, On, *Beat, Now);
+    return this->onHeartbeat(From, LinkState, *Beat, Now);
   if (const auto *Announce = Frame.payload.AsAnnounce())
     return this->onNeighbourStamp(From, Announce->topic,
                                   fromWire(Announce->held.get()), Now);
   if (const auto *Pull = Frame.payload.AsPull())
     return this->onPull(From, *Pull, Now);
   if (const auto *Part = Frame.payload.AsPart())
-    return this->onPart(From, On, *Part, Now);
+    return this->onPart(From, LinkState, *Part, Now);
   if (const auto *Prune = Frame.payload.AsPrune()) {
-    On.Topics[Prune->topic].Lazy = true;
+    LinkState.Topics[Prune->topic].Lazy = true;
     return;
   }
   if (const auto *Busy = Frame.payload.AsBusy()) {
@@ -414,49 +426,55 @@
       return;
     State.NextPullAt =
         Now + Millis(Busy->retry_after_ms + this->Random() % 200);
-    // Another that has it may be asked sooner.
+    // Another neighbour that has the document may be asked sooner.
     State.PullSent = false;
   }
 }
 
-void Spreader::onHeartbeat(LinkId From, Link &On, const wire::HeartbeatT &Beat,
-                           TimePoint Now) {
-  On.ReceivedSeq = std::max(On.ReceivedSeq, Beat.seq);
+void Spreader::onHeartbeat(LinkId From, Link &LinkState,
+                           const wire::HeartbeatT &Beat, TimePoint Now) {
+  LinkState.ReceivedSeq = std::max(LinkState.ReceivedSeq, Beat.seq);
   if (Beat.first_era)
     this->recordEra(*Beat.first_era);
   std::optional<TimePoint> ComposedAfter;
-  uint32_t Back = On.SentSeq - Beat.echo;
-  if (Beat.echo != 0 && Back < On.HeartbeatsSentAt.size())
-    ComposedAfter = On.HeartbeatsSentAt[On.HeartbeatsSentAt.size() - 1 - Back];
+  uint32_t SentSince = LinkState.SentSeq - Beat.echo;
+  if (Beat.echo != 0 && SentSince < LinkState.HeartbeatsSentAt.size())
+    ComposedAfter =
+        LinkState.HeartbeatsSentAt[LinkState.HeartbeatsSentAt.size() - 1 -
+                                   SentSince];
   if (!this->Opts.Guards.EchoedAges)
     ComposedAfter = Now;
-  // Ages without names follow the order of the topics named last.
+  // Ages without topic names follow the order of the last heartbeat with names.
   std::vector<std::string> Order;
   for (const auto &Item : Beat.topics) {
-    Stamp Theirs = fromWire(Item->held.get());
+    Stamp Reported = fromWire(Item->held.get());
     if (ComposedAfter)
-      this->updateConfirmedAt(Item->topic, Theirs, Item->age_ms,
+      this->updateConfirmedAt(Item->topic, Reported, Item->age_ms,
                               *ComposedAfter);
     Order.push_back(Item->topic);
   }
-  // What is asked for first comes first: the lists, of which the names sort
-  // last, before a version that may be half a megabyte.
+  // Documents arrive in the order in which they are pulled. Go backwards, so
+  // that the lists, whose names sort last, arrive before a version, which may
+  // be half a megabyte.
   for (auto Item = Beat.topics.rbegin(); Item != Beat.topics.rend(); ++Item)
     this->onNeighbourStamp(From, (*Item)->topic, fromWire((*Item)->held.get()),
                            Now);
-  // What we hold is as new as what they hold, so it lacks nothing either.
-  if (this->hasAllDocumentsOf(On))
+  // If every document stored here is at least as new as the neighbour's, the
+  // neighbour's complete revision holds for this node too.
+  if (this->hasAllDocumentsOf(LinkState))
     this->CompleteRevision = std::max(this->CompleteRevision, Beat.complete_at);
   if (!Order.empty()) {
-    On.AgeTopics = std::move(Order);
+    LinkState.AgeTopics = std::move(Order);
     return;
   }
   if (!ComposedAfter)
     return;
-  for (size_t I = 0; I < Beat.ages_ms.size() && I < On.AgeTopics.size(); ++I)
-    this->updateConfirmedAt(On.AgeTopics[I],
-                            On.Topics[On.AgeTopics[I]].NeighbourStamp,
-                            Beat.ages_ms[I], *ComposedAfter);
+  for (size_t I = 0; I < Beat.ages_ms.size() && I < LinkState.AgeTopics.size();
+       ++I)
+    this->updateConfirmedAt(
+        LinkState.AgeTopics[I],
+        LinkState.Topics[LinkState.AgeTopics[I]].NeighbourStamp,
+        Beat.ages_ms[I], *ComposedAfter);
 }
 
 } // namespace hickorylift
--- a/src/spread/Spreader.h
+++ b/src/spread/Spreader.h
@@ -12,19 +12,22 @@
 #include <random>
 #include <string>
 
-// A Spreader keeps one node's documents as new as those of its neighbours. It
-// has no socket and no clock: frames go out by a hook and come in by a call.
+// Spreader replicates documents between neighbouring nodes: it keeps one node's
+// documents as new as those of its neighbours. It uses neither sockets nor a
+// clock: frames are sent through a hook and passed in by the owner.
 //
 //   Spreader::Hooks Hooks;
 //   Hooks.Send = [&](LinkId To, wire::SpreadFrameT Frame) { ... };
-//   Hooks.Accept = [&](const Spreader::Arrival &A, TimePoint Now) {
-//     return compileAndSwap(A.Held);      // false: refused, the old one stays
+//   Hooks.Accept = [&](const Spreader::ReceivedDocument &Received,
+//                      TimePoint Now) {
+//     return compileAndSwap(Received.Doc);   // false: keep the previous one
 //   };
+//   Hooks.CloseDeadLink = [&](LinkId Link, const Error &Reason) { ... };
 //   Spreader Spread(Spreader::Options(), Hooks, /*Seed=*/7);
 //   Spread.linkUp(Link, "node-2", /*Eager=*/true, Now);
-//   Spread.publish("config", Doc, Now);   // read from the platform
-//   Spread.receive(Link, Frame, Now);     // came from a neighbour
-//   Spread.tick(Now);                     // a few times a second
+//   Spread.publish("config", Doc, Now);      // read from the platform
+//   Spread.receive(Link, Frame, Now);        // received from a neighbour
+//   Spread.tick(Now);                        // a few times a second
 
 namespace hickorylift {
 
@@ -33,38 +36,39 @@
 class Spreader {
 public:
   struct Options {
-    /// Between two heartbeats on one link. Longer costs fewer control bytes
-    /// and repairs a lost push later.
+    /// Interval between two heartbeats on one link. A longer interval costs
+    /// fewer bytes but repairs a lost push later.
     Millis HeartbeatInterval{2000};
-    /// How long an announced document may still come by another link before
-    /// it is asked for.
+    /// Graft: pull a document that a lazy link announced. The node first waits
+    /// this long for the document to be pushed over another link.
     Millis GraftDelay{60};
     /// How long a pull may stay unanswered before another link is asked.
     Millis PullTimeout{1000};
-    /// A link on which nothing came for this long is condemned.
+    /// A link on which no frame has arrived for this long is declared dead.
     Millis LivenessTimeout{7000};
-    /// Largest piece of a change set in one frame, in bytes.
+    /// Maximum size in bytes of the piece of a change set sent in one frame.
     size_t MaxPartBytes = 128 * 1024;
-    /// Largest change set that is taken from a neighbour, in bytes.
+    /// Maximum size in bytes of a change set accepted from a neighbour.
     size_t MaxChangeSetBytes = 96u << 20;
-    /// Change sets smaller than this are sent as they are.
+    /// Change sets smaller than this are sent uncompressed.
     size_t MinCompressBytes = 256;
-    /// Older versions kept as bases for deltas.
+    /// Number of older versions kept as bases for deltas.
     size_t MaxDeltaBases = 8;
-    /// Snapshots handed out: bytes a second, and the burst. Sets how fast a
-    /// herd of empty nodes may draw on one neighbour.
+    /// Rate limit for sending snapshots, in bytes per second, and its burst.
+    /// Bounds what many empty nodes that start at once draw from one neighbour.
     double SnapshotBytesPerSecond = 4e6;
     double SnapshotBurstBytes = 8e6;
-    /// Documents up to this length are outside that budget: a list of a few
-    /// hundred instances, which whoever starts needs before it can turn to
-    /// anybody else, must not wait behind versions for others.
+    /// Snapshots of documents up to this size are exempt from the rate limit. A
+    /// starting node needs the list of a few hundred instances before it can
+    /// ask any other node, so the list must not wait behind versions sent to
+    /// other nodes.
     size_t UnmeteredSnapshotBytes = 64 * 1024;
-    /// A jump of the clock between two ticks that counts as a pause.
+    /// A gap between two ticks longer than this counts as a process pause.
     Millis PauseThreshold{1500};
     Safeguards Guards;
   };
 
-  /// A document that was taken, and from whom.
+  /// A newly stored document, and the peer it came from or "platform".
   struct ReceivedDocument {
     std::string Topic;
     DocumentPtr Doc;
@@ -73,18 +77,19 @@
 
   struct Hooks {
     std::function<void(LinkId, wire::SpreadFrameT)> Send;
-    /// Judges a document. True puts it in force. False keeps what is in force;
-    /// the document is still handed on, for another build may accept it.
+    /// Checks a document and activates it if it is valid. Returns false to keep
+    /// the active one; the document is still forwarded, as a node with another
+    /// build may accept it.
     std::function<bool(const ReceivedDocument &, TimePoint)> Accept;
-    /// Closes a link that went silent.
+    /// Closes a link that was declared dead.
     std::function<void(LinkId, const Error &)> CloseDeadLink;
-    /// Fills the report on this node's subtree for the link's heartbeat, or
-    /// leaves it null.
+    /// Returns the report on this node's subtree for the link's heartbeat, or
+    /// null to send none.
     std::function<std::unique_ptr<wire::FleetReportT>(LinkId)> MakeReport =
         [](LinkId) { return nullptr; };
   };
 
-  /// What was sent, for the metrics.
+  /// Counts of frames and events, for the metrics.
   struct Counters {
     uint64_t Parts = 0;
     uint64_t Snapshots = 0;
@@ -98,44 +103,51 @@
 
   Spreader(Options Opts, Hooks Hooks, uint64_t Seed);
 
-  /// Takes a document read from the platform. False if it is not newer than
-  /// the one held, which then stays.
+  /// Stores and forwards a document read from the platform. Returns false if
+  /// it is not newer than the stored one, which is then kept, or if a neighbour
+  /// is known to have a newer one.
   bool publish(const std::string &Topic, const DocumentPtr &Doc, TimePoint Now);
-  /// The platform, asked at AskedAt, still named this version and revision.
+  /// Records that the platform, asked at AskedAt, still named this version and
+  /// revision.
   void confirm(const std::string &Topic, uint64_t Version, uint64_t Revision,
                TimePoint AskedAt);
 
-  /// All that the platform said up to this revision was published here.
+  /// Records that all changes of the platform up to this revision were
+  /// published here. Ignored while a neighbour has a newer document.
   void markComplete(uint64_t Revision);
-  /// Up to which revision of the platform nothing is missing from what is held;
-  /// 0 where that is not known. It never falls: what is held only grows newer.
+  /// The platform revision up to which the stored documents contain all
+  /// changes; 0 if it is not known. Never decreases, as stored documents are
+  /// only replaced by newer ones.
   uint64_t completeRevision() const { return this->CompleteRevision; }
 
   /// Records an era of the platform that this node or another has seen.
   void recordEra(uint64_t Era);
-  /// The earliest platform era known to any node; nothing if none is known. It
-  /// never rises, and heartbeats spread it to all connected nodes.
+  /// The earliest platform era known to any node; nullopt if none is known. It
+  /// never increases, and heartbeats send it to all connected nodes.
   std::optional<uint64_t> earliestEra() const { return this->EarliestEra; }
 
+  /// Adds a link. Documents are pushed at once over an eager link; over a lazy
+  /// one only their stamps are announced.
   void linkUp(LinkId Link, const std::string &Peer, bool Eager, TimePoint Now);
   void linkDown(LinkId Link);
   void receive(LinkId Link, const wire::SpreadFrameT &Frame, TimePoint Now);
   void tick(TimePoint Now);
-  /// Tells all neighbours what is held, at once: after a pause, when whatever
-  /// they told us is of unknown age and what we told them may be old.
+  /// Sends the stamps of all stored documents to all neighbours at once. Needed
+  /// after a process pause, when the state received from neighbours is of
+  /// unknown age and the state sent to them may be outdated.
   void resync(TimePoint Now);
-  /// Brings the next heartbeat on a link forward to At.
+  /// Sends the next heartbeat on a link at At, unless it is due earlier.
   void sendHeartbeatBy(LinkId Link, TimePoint At);
 
   /// The newest document known, accepted or not; null if none.
   DocumentPtr storedDocument(const std::string &Topic) const;
-  /// The newest document that Accept took; null if none.
+  /// The newest document for which Accept returned true; null if none.
   DocumentPtr acceptedDocument(const std::string &Topic) const;
-  /// Time since the platform was last known to hold what we hold. Nullopt if
-  /// it never was.
+  /// Time since the platform was last known to have the stored document;
+  /// nullopt if that was never confirmed.
   std::optional<Millis> age(const std::string &Topic, TimePoint Now) const;
   const Counters &counters() const { return this->Counts; }
-  /// Whether any neighbour has told what it holds.
+  /// Whether any neighbour has sent the stamps of its documents.
   bool hasNeighbourState() const;
   size_t linkCount() const { return this->Links.size(); }
 
@@ -145,12 +157,14 @@
     DocumentPtr Accepted;
     std::deque<DocumentPtr> DeltaBases;
     std::optional<TimePoint> ConfirmedAt;
-    // The pull under way, if any.
+    // The current pull, if any. NextPullAt is when the pull is sent or, if
+    // PullSent is true, when another link is asked instead.
     std::optional<TimePoint> NextPullAt;
     LinkId PullFrom = 0;
     bool PullSent = false;
   };
 
+  // A change set of which some parts have arrived.
   struct PartialChangeSet {
     Stamp Base;
     Stamp Target;
@@ -161,8 +175,9 @@
   };
 
   struct TopicOnLink {
+    // The newest stamp that the neighbour is known to have.
     Stamp NeighbourStamp;
-    // Unset: as the link is.
+    // Overrides the link's Eager flag for this topic, if set.
     std::optional<bool> Lazy;
     PartialChangeSet Incoming;
   };
@@ -173,17 +188,20 @@
     TimePoint LastReceivedAt;
     TimePoint NextHeartbeatAt;
     uint64_t LastSentDigest = 0;
+    // The topics of the last heartbeat received with stamps. Later heartbeats
+    // list ages alone, in this order.
     std::vector<std::string> AgeTopics;
     std::map<std::string, TopicOnLink> Topics;
-    // Heartbeats sent, the newest last; SentSeq is the newest one's.
+    // Send times of the latest heartbeats, the newest last. SentSeq is the
+    // sequence number of the newest.
     std::deque<TimePoint> HeartbeatsSentAt;
     uint32_t SentSeq = 0;
     uint32_t ReceivedSeq = 0;
   };
 
   bool neighbourHasNewer(const std::string &Topic, const Stamp &Than) const;
-  bool hasAllDocumentsOf(const Link &On) const;
-  bool isOutdated(const Stamp &New, const DocumentPtr &Than) const;
+  bool hasAllDocumentsOf(const Link &Neighbour) const;
+  bool isOutdated(const Stamp &New, const DocumentPtr &Current) const;
   void storeDocument(const std::string &Name, const DocumentPtr &Doc,
                      const std::string &From, std::optional<LinkId> Source,
                      TimePoint Now);
@@ -196,7 +214,7 @@
                     const Stamp &Have, bool Asked, TimePoint Now);
   bool takeSnapshotBudget(size_t Bytes, TimePoint Now);
   DocumentPtr findDeltaBase(const TopicState &State, const Stamp &Have) const;
-  /// A change set as it goes over the links.
+  /// A change set encoded for sending.
   struct PackedChangeSet {
     Stamp Base;
     Stamp Target;
@@ -206,26 +224,27 @@
   const PackedChangeSet &packOrReuse(const std::string &Name,
                                      const DocumentPtr &Base,
                                      const DocumentPtr &Target);
-  /// Base is null for a snapshot.
+  /// Sends the changes from Base to Target; Base is null for a snapshot.
   void sendParts(LinkId To, const std::string &Name, const DocumentPtr &Base,
                  const DocumentPtr &Target);
-  void sendHeartbeat(LinkId To, Link &On, TimePoint Now);
+  void sendHeartbeat(LinkId To, Link &LinkState, TimePoint Now);
   void onNeighbourStamp(LinkId From, const std::string &Name,
-                        const Stamp &Theirs, TimePoint Now);
+                        const Stamp &Reported, TimePoint Now);
   void schedulePull(LinkId From, const std::string &Name, TimePoint At);
   void advancePull(const std::string &Name, TopicState &State, TimePoint Now);
   void sendPull(LinkId To, const std::string &Name, const TopicState &State);
-  void onHeartbeat(LinkId From, Link &On, const wire::HeartbeatT &Beat,
+  void onHeartbeat(LinkId From, Link &LinkState, const wire::HeartbeatT &Beat,
                    TimePoint Now);
   void onPull(LinkId From, const wire::PullT &Pull, TimePoint Now);
-  void onPart(LinkId From, Link &On, const wire::PartT &Part, TimePoint Now);
-  void applyChangeSet(LinkId From, Link &On, const std::string &Name,
+  void onPart(LinkId From, Link &LinkState, const wire::PartT &Part,
+              TimePoint Now);
+  void applyChangeSet(LinkId From, Link &LinkState, const std::string &Name,
                       const PartialChangeSet &Whole, TimePoint Now);
-  void updateConfirmedAt(const std::string &Name, const Stamp &Theirs,
+  void updateConfirmedAt(const std::string &Name, const Stamp &Reported,
                          uint32_t AgeMs, TimePoint ComposedAfter);
   std::optional<LinkId> chooseLinkWithNewer(const TopicState &State,
                                             const std::string &Name,
-                                            LinkId NotThis);
+                                            LinkId Excluded);
   uint64_t digest() const;
 
   Options Opts;
@@ -234,7 +253,7 @@
   std::map<std::string, TopicState> Topics;
   std::map<LinkId, Link> Links;
   Counters Counts;
-  // What was sent last of each topic.
+  // The change set packed last for each topic.
   std::map<std::string, PackedChangeSet> LastPacked;
   uint64_t CompleteRevision = 0;
   std::optional<uint64_t> EarliestEra;
@@ -242,16 +261,20 @@
   std::optional<TimePoint> LastTick;
 };
 
-/// The bytes of a frame, and back. Decoding checks every offset and refuses
-/// what does not verify; an unknown payload type is kept as such.
+/// Encodes a frame.
 std::string encodeFrame(const wire::SpreadFrameT &Frame);
+/// Decodes a frame. Checks every offset and refuses a frame that does not
+/// verify. A frame with an unknown payload type is decoded and keeps that type.
 Result<wire::SpreadFrameT>
 decodeSpreadFrame(std::string_view Sealed,
                   const Safeguards &Guards = Safeguards());
 
-/// A change set as bytes, compressed where that pays, and back.
-std::string packChanges(const ChangeSet &Changes, size_t CompressFrom,
+/// Encodes a change set, compressed if it has at least MinCompressBytes and
+/// compression makes it smaller. RawSize is set to the size before compression,
+/// or to 0 if it is not compressed.
+std::string packChanges(const ChangeSet &Changes, size_t MinCompressBytes,
                         uint32_t &RawSize);
+/// Decodes a change set. Refuses one whose RawSize exceeds Limit.
 Result<ChangeSet> unpackChanges(std::string_view Bytes, uint32_t RawSize,
                                 size_t Limit);
 
