--- a/src/spread/Spreader.h
+++ b/src/spread/Spreader.h
@@ -13,8 +13,10 @@
 #include <string>
 
 // Spreader replicates documents between neighbouring nodes: it keeps one node's
-// documents as new as those of its neighbours. It uses neither sockets nor a
-// clock: frames are sent through a hook and passed in by the owner.
+// documents as new as those of its neighbours. A topic names a document whose
+// successive versions are ordered by their stamps. Spreader uses neither
+// sockets nor a clock: frames are sent through a hook and passed in by the
+// owner.
 //
 //   Spreader::Hooks Hooks;
 //   Hooks.Send = [&](LinkId To, wire::SpreadFrameT Frame) { ... };
@@ -36,8 +38,9 @@
 class Spreader {
 public:
   struct Options {
-    /// Interval between two heartbeats on one link. A longer interval costs
-    /// fewer bytes but repairs a lost push later.
+    /// Interval between two heartbeats on one link. A heartbeat carries the
+    /// stamps and ages of all stored documents. A longer interval costs fewer
+    /// bytes but repairs a lost push later.
     Millis HeartbeatInterval{2000};
     /// Graft: pull a document that a lazy link announced. The node first waits
     /// this long for the document to be pushed over another link.
@@ -120,7 +123,8 @@
   /// only replaced by newer ones.
   uint64_t completeRevision() const { return this->CompleteRevision; }
 
-  /// Records an era of the platform that this node or another has seen.
+  /// Records an era of the platform that this node or another has seen. The era
+  /// changes when the platform is restored from an older copy.
   void recordEra(uint64_t Era);
   /// The earliest platform era known to any node; nullopt if none is known. It
   /// never increases, and heartbeats send it to all connected nodes.
