--- a/src/control/ControlFixture.h
+++ b/src/control/ControlFixture.h
@@ -12,24 +12,31 @@
 // Shared helpers for the control plane tests: a document source that never
 // publishes, builders for the documents that a test publishes itself, and
 // membership options.
+//
+//   UnresponsiveSource Source(&LastDuty);   // stores the duty of each tick
+//   Publish(ConfigTopic, makeVersion(2), Now);
+//   Publish(listTopic("north"), makeInstanceList(12), Now);
 
 namespace hickorylift {
 
-/// Simulates an unreachable platform: never publishes a document.
-class SilentSource : public DocumentSource {
+/// Simulates an unreachable platform: never publishes a document. Stores the
+/// duty that the node assigns to it in *LastDuty, if that is not null.
+class UnresponsiveSource : public DocumentSource {
 public:
-  explicit SilentSource(ReadDuty *Wanted = nullptr) : Wanted(Wanted) {}
-  void tick(TimePoint, ReadDuty Now) override {
-    if (this->Wanted)
-      *this->Wanted = Now;
+  explicit UnresponsiveSource(ReadDuty *LastDuty = nullptr)
+      : LastDuty(LastDuty) {}
+  void tick(TimePoint, ReadDuty Duty) override {
+    if (this->LastDuty)
+      *this->LastDuty = Duty;
   }
   uint64_t reads() const override { return 0; }
 
 private:
-  ReadDuty *Wanted;
+  ReadDuty *LastDuty;
 };
 
-inline DocumentPtr versionOf(uint64_t Number) {
+/// Builds a valid configuration with this version number.
+inline DocumentPtr makeVersion(uint64_t Number) {
   FaultList Faults;
   std::optional<EntryMap> Records = readRecordFile(
       R"([{"kind": "service", "name": "portal", "schema": 1}])", "f", Faults);
@@ -37,9 +44,10 @@
   return Document::make(Number, Number, std::move(*Records));
 }
 
-inline DocumentPtr listOf(const std::vector<std::string> &Names,
-                          uint64_t Revision,
-                          const std::string &DataCentre = "north") {
+/// Builds a data centre's list of instances with these names.
+inline DocumentPtr makeInstanceList(const std::vector<std::string> &Names,
+                                    uint64_t Revision,
+                                    const std::string &DataCentre = "north") {
   EntryMap Entries;
   for (const std::string &Name : Names) {
     Instance Listed;
@@ -53,22 +61,23 @@
   return Document::make(Revision, Revision, std::move(Entries));
 }
 
-inline DocumentPtr listOf(size_t Size,
-                          const std::string &DataCentre = "north") {
+/// Builds a list of Size instances named "n-0", "n-1", ...
+inline DocumentPtr makeInstanceList(size_t Size,
+                                    const std::string &DataCentre = "north") {
   std::vector<std::string> Names;
   for (size_t I = 0; I < Size; ++I)
     Names.push_back("n-" + std::to_string(I));
-  return listOf(Names, /*Revision=*/1, DataCentre);
+  return makeInstanceList(Names, /*Revision=*/1, DataCentre);
 }
 
-inline Membership::Options fleetOptions(const std::string &Self,
-                                        size_t SpareReaders) {
-  Membership::Options Out;
-  Out.Self = Self;
-  Out.DataCentre = "north";
-  Out.Readers = 1;
-  Out.SpareReaders = SpareReaders;
-  return Out;
+inline Membership::Options membershipOptions(const std::string &Self,
+                                             size_t SpareReaders) {
+  Membership::Options Opts;
+  Opts.Self = Self;
+  Opts.DataCentre = "north";
+  Opts.Readers = 1;
+  Opts.SpareReaders = SpareReaders;
+  return Opts;
 }
 
 } // namespace hickorylift
--- a/src/control/ControlLinks.cpp
+++ b/src/control/ControlLinks.cpp
@@ -13,11 +13,11 @@
 
 constexpr unsigned MaxBackoffShift = 10;
 
-/// The kind of a link as the other end names it. What a later build may add is
-/// a link that announces.
-LinkKind tieOf(uint8_t Named) {
-  bool Known = Named <= static_cast<uint8_t>(LinkKind::Seed);
-  return Known ? static_cast<LinkKind>(Named) : LinkKind::Backup;
+/// Reads the kind of a link as sent by the peer that dialled it. A kind that a
+/// later build adds is treated as a link on which documents are only announced.
+LinkKind parseTie(uint8_t Value) {
+  bool Known = Value <= static_cast<uint8_t>(LinkKind::Seed);
+  return Known ? static_cast<LinkKind>(Value) : LinkKind::Backup;
 }
 
 wire::SpreadFrameT helloFrame(const ControlPlane::Options &Opts,
@@ -38,30 +38,31 @@
 void ControlPlane::avoid(const std::string &Name, TimePoint Now) {
   if (!this->Opts.Spread.Guards.ClimbPastDead)
     return;
-  this->AvoidedAt[Name] = Now;
-  this->NeedRetarget |= this->Avoid.insert(Name).second;
+  this->AvoidedSince[Name] = Now;
+  this->NeedsRetarget |= this->Avoided.insert(Name).second;
 }
 
 void ControlPlane::stopAvoiding(const std::string &Name) {
-  this->AvoidedAt.erase(Name);
-  this->AvoidSilentUntil.erase(Name);
-  this->NeedRetarget |= this->Avoid.erase(Name) != 0;
+  this->AvoidedSince.erase(Name);
+  this->AvoidUnresponsiveUntil.erase(Name);
+  this->NeedsRetarget |= this->Avoided.erase(Name) != 0;
 }
 
-// Neighbours that are still dialled are avoided until they answer and, if
-// condemned for silence, AvoidSilentFor has passed. The others are not dialled
-// and are avoided for AvoidFor.
-void ControlPlane::forgetAvoided(TimePoint Now) {
+// Neighbours that are still dialled are avoided until they answer and, if their
+// link was declared dead, AvoidUnresponsiveDuration has passed. The others are
+// not dialled and are avoided for AvoidDuration.
+void ControlPlane::expireAvoided(TimePoint Now) {
   std::vector<std::string> Expired;
-  for (const auto &[Name, Since] : this->AvoidedAt) {
-    auto To = this->Targets.find(Name);
-    bool Dialled = To != this->Targets.end();
-    bool Linked =
-        Dialled && To->second.Link && this->Peers.at(*To->second.Link).Greeted;
-    auto Until = this->AvoidSilentUntil.find(Name);
+  for (const auto &[Name, Since] : this->AvoidedSince) {
+    auto Found = this->Targets.find(Name);
+    bool Dialled = Found != this->Targets.end();
+    bool Linked = Dialled && Found->second.Link &&
+                  this->Peers.at(*Found->second.Link).HelloReceived;
+    auto Until = this->AvoidUnresponsiveUntil.find(Name);
     bool MustAvoid =
-        Until != this->AvoidSilentUntil.end() && Now < Until->second;
-    if (Dialled ? Linked && !MustAvoid : Now - Since >= this->Opts.AvoidFor)
+        Until != this->AvoidUnresponsiveUntil.end() && Now < Until->second;
+    if (Dialled ? Linked && !MustAvoid
+                : Now - Since >= this->Opts.AvoidDuration)
       Expired.push_back(Name);
   }
   for (const std::string &Name : Expired)
@@ -71,26 +72,27 @@
 void ControlPlane::retarget(TimePoint Now) {
   std::map<std::string, Target> Wanted;
   std::vector<LinkId> Outdated;
-  auto Want = [&](const Neighbour &One) {
-    auto [At, New] = Wanted.try_emplace(One.Peer->Name);
+  auto AddTarget = [&](const Neighbour &Node) {
+    auto [Added, New] = Wanted.try_emplace(Node.Peer->Name);
     if (!New)
       return;
-    At->second.Address = One.Peer->Node;
-    At->second.Kind = One.Kind;
-    At->second.NextDial = Now;
+    Added->second.Address = Node.Peer->Node;
+    Added->second.Kind = Node.Kind;
+    Added->second.NextDial = Now;
   };
-  for (const Neighbour &One : this->Fleet.neighbours(this->Avoid))
-    Want(One);
-  // Go on trying those whose place others have taken.
-  for (const Neighbour &One : this->Fleet.neighbours())
-    if (this->Avoid.count(One.Peer->Name))
-      Want(One);
-  // A node that knows no neighbour, or is the only one listed in its data
-  // centre, keeps to its seeds: they may know more. So does one that has no
-  // version yet: those above it may have none either.
+  for (const Neighbour &Node : this->Fleet.neighbours(this->Avoided))
+    AddTarget(Node);
+  // Avoided neighbours are still dialled, so that they are used again once they
+  // answer.
+  for (const Neighbour &Node : this->Fleet.neighbours())
+    if (this->Avoided.count(Node.Peer->Name))
+      AddTarget(Node);
+  // A node that knows no neighbour and is alone in its data centre's list stays
+  // linked to its seeds, as they may have a newer list. So does a node without
+  // a version, as its ancestors in the tree may not have one either.
   bool Alone = this->Fleet.size(this->Opts.DataCentre) < 2;
-  if ((Wanted.empty() && Alone) || !this->InForce)
-    this->wantSeeds(Wanted, Now);
+  if ((Wanted.empty() && Alone) || !this->ActiveConfig)
+    this->addSeedTargets(Wanted, Now);
   for (auto &[Name, Old] : this->Targets) {
     auto Kept = Wanted.find(Name);
     if (Kept != Wanted.end() && Kept->second.Address == Old.Address &&
@@ -101,59 +103,61 @@
   }
   this->Targets = std::move(Wanted);
   for (LinkId Link : Outdated)
-    this->dropOrKeepLink(Link, Now);
+    this->closeOrKeepLink(Link, Now);
 }
 
 bool ControlPlane::isAwaitingParentLink() const {
-  return this->Fleet.parent(this->Avoid) && !this->hasParentLink();
+  return this->Fleet.parent(this->Avoided) && !this->hasParentLink();
 }
 
 // Closes an outdated link, or keeps it open until the new parent is linked.
 // Closing it earlier would leave the node without versions, so it would read
 // the platform, and on a slow network link reading a large configuration delays
-// the new parent's greeting.
-void ControlPlane::dropOrKeepLink(LinkId Link, TimePoint Now) {
-  const Peer &To = this->Peers.at(Link);
-  bool Usable = To.Greeted && To.Kind != LinkKind::Seed;
+// the new parent's Hello frame.
+void ControlPlane::closeOrKeepLink(LinkId Link, TimePoint Now) {
+  const Peer &Former = this->Peers.at(Link);
+  bool Usable = Former.HelloReceived && Former.Kind != LinkKind::Seed;
   if (!Usable || !this->isAwaitingParentLink())
-    return this->drop(Link, Now);
+    return this->closeLink(Link, Now);
   this->FormerLinks.insert(Link);
-  if (To.Kind != LinkKind::Tree || this->FormerParentLink)
+  if (Former.Kind != LinkKind::Tree || this->FormerParentLink)
     return;
   this->FormerParentLink = Link;
   this->FormerParentValidUntil = Now + this->Opts.FormerParentTimeout;
 }
 
-void ControlPlane::dropFormerLinks(TimePoint Now) {
+void ControlPlane::closeFormerLinks(TimePoint Now) {
   if (this->isAwaitingParentLink())
     return;
   for (LinkId Link : std::exchange(this->FormerLinks, {}))
-    this->drop(Link, Now);
+    this->closeLink(Link, Now);
 }
 
-void ControlPlane::wantSeeds(std::map<std::string, Target> &Wanted,
-                             TimePoint Now) const {
+// Adds the seeds as targets, to be dialled one after the other in an order that
+// differs from node to node.
+void ControlPlane::addSeedTargets(std::map<std::string, Target> &Wanted,
+                                  TimePoint Now) const {
   std::map<uint64_t, std::string> Order;
   for (const auto &[Name, Address] : this->Opts.Seeds)
     Order[rendezvousScore(this->Opts.Self, Name)] = Name;
-  TimePoint Dial = Now;
+  TimePoint NextDial = Now;
   for (const auto &[Score, Name] : Order) {
-    auto [At, New] = Wanted.try_emplace(Name);
+    auto [Added, New] = Wanted.try_emplace(Name);
     if (!New)
       continue;
-    At->second.Address = this->Opts.Seeds.at(Name);
-    At->second.Kind = LinkKind::Seed;
-    At->second.NextDial = Dial;
-    Dial += this->Opts.NextSeedAfter;
+    Added->second.Address = this->Opts.Seeds.at(Name);
+    Added->second.Kind = LinkKind::Seed;
+    Added->second.NextDial = NextDial;
+    NextDial += this->Opts.SeedDialInterval;
   }
 }
 
 void ControlPlane::dialTargets(TimePoint Now) {
-  for (auto &[Name, To] : this->Targets) {
-    if (To.Link || To.Dialling || Now < To.NextDial)
+  for (auto &[Name, DialTarget] : this->Targets) {
+    if (DialTarget.Link || DialTarget.Dialling || Now < DialTarget.NextDial)
       continue;
-    To.Dialling = true;
-    this->Hook.Dial(Name, To.Address);
+    DialTarget.Dialling = true;
+    this->Hook.Dial(Name, DialTarget.Address);
   }
 }
 
@@ -161,15 +165,16 @@
   auto Found = this->Targets.find(Name);
   if (Found == this->Targets.end())
     return;
-  Target &To = Found->second;
-  To.Dialling = false;
-  Millis Longest = std::min(this->Opts.LongestRedial,
-                            this->Opts.FirstRedial *
-                                (1 << std::min(To.Failures, MaxBackoffShift)));
-  if (++To.Failures >= this->Opts.AvoidAfter)
+  Target &Failed = Found->second;
+  Failed.Dialling = false;
+  Millis MaxDelay =
+      std::min(this->Opts.MaxRedialDelay,
+               this->Opts.MinRedialDelay *
+                   (1 << std::min(Failed.Failures, MaxBackoffShift)));
+  if (++Failed.Failures >= this->Opts.AvoidAfterFailures)
     this->avoid(Name, Now);
-  To.NextDial =
-      Now + Longest / 2 + Millis(this->Random() % (Longest.count() / 2 + 1));
+  Failed.NextDial =
+      Now + MaxDelay / 2 + Millis(this->Random() % (MaxDelay.count() / 2 + 1));
 }
 
 void ControlPlane::linkOpened(LinkId Link, const std::string &Dialled,
@@ -179,45 +184,46 @@
     return this->Hook.Close(Link);
   Peer &New = this->Peers[Link];
   New.Name = Dialled;
-  New.Target = Dialled;
+  New.DialledName = Dialled;
   if (Dialled.empty())
     return;
   auto Found = this->Targets.find(Dialled);
   if (Found == this->Targets.end())
-    return this->drop(Link, Now);
+    return this->closeLink(Link, Now);
   Found->second.Dialling = false;
   Found->second.Link = Link;
   New.Kind = Found->second.Kind;
-  this->greet(Link, New);
+  this->sendHello(Link, New);
 }
 
-void ControlPlane::greet(LinkId Link, const Peer &To) {
+void ControlPlane::sendHello(LinkId Link, const Peer &To) {
   this->Hook.Send(Link, encodeFrame(helloFrame(this->Opts, To.Kind)));
 }
 
 void ControlPlane::onHello(LinkId Link, Peer &From, const wire::HelloT &Hello,
                            TimePoint Now) {
-  if (From.Greeted)
+  if (From.HelloReceived)
     return;
-  From.Greeted = true;
+  From.HelloReceived = true;
   From.Name = Hello.node;
-  if (From.Target.empty()) {
-    From.Kind = tieOf(Hello.tie);
-    this->greet(Link, From);
+  if (From.DialledName.empty()) {
+    From.Kind = parseTie(Hello.tie);
+    this->sendHello(Link, From);
     if (From.Kind == LinkKind::Seed)
-      this->introduce(Now);
-  } else if (auto Found = this->Targets.find(From.Target);
+      this->onSeedRequest(Now);
+  } else if (auto Found = this->Targets.find(From.DialledName);
              Found != this->Targets.end()) {
     Found->second.Failures = 0;
-    if (!this->AvoidSilentUntil.count(From.Target))
-      this->stopAvoiding(From.Target);
+    if (!this->AvoidUnresponsiveUntil.count(From.DialledName))
+      this->stopAvoiding(From.DialledName);
   }
   this->Spread.linkUp(Link, From.Name, From.Kind == LinkKind::Tree, Now);
-  if (std::optional<wire::SpreadFrameT> Known = this->Hold.all(Now))
-    this->Hook.Send(Link, encodeFrame(*Known));
+  if (std::optional<wire::SpreadFrameT> Records =
+          this->RequestQuarantine.all(Now))
+    this->Hook.Send(Link, encodeFrame(*Records));
 }
 
-void ControlPlane::drop(LinkId Link, TimePoint Now) {
+void ControlPlane::closeLink(LinkId Link, TimePoint Now) {
   this->Hook.Close(Link);
   this->linkClosed(Link, Now);
 }
@@ -227,25 +233,25 @@
   auto Found = this->Peers.find(Link);
   if (Found == this->Peers.end())
     return;
-  std::string Target = Found->second.Target;
+  std::string DialledName = Found->second.DialledName;
   this->Peers.erase(Found);
   this->FormerLinks.erase(Link);
   if (this->FormerParentLink == Link)
     this->FormerParentLink.reset();
   this->Spread.linkDown(Link);
-  this->View.dropChild(Link);
-  auto To = this->Targets.find(Target);
-  if (To != this->Targets.end() && To->second.Link == Link) {
-    To->second.Link.reset();
-    this->dialFailed(Target, Now);
+  this->View.removeChild(Link);
+  auto Dialled = this->Targets.find(DialledName);
+  if (Dialled != this->Targets.end() && Dialled->second.Link == Link) {
+    Dialled->second.Link.reset();
+    this->dialFailed(DialledName, Now);
   }
 }
 
-void ControlPlane::goodbye() {
+void ControlPlane::sendGoodbye() {
   wire::SpreadFrameT Frame;
   Frame.payload.Set(wire::GoodbyeT());
   for (const auto &[Link, To] : this->Peers)
-    if (To.Greeted)
+    if (To.HelloReceived)
       this->Hook.Send(Link, encodeFrame(Frame));
 }
 
--- a/src/spread/Repair.cpp
+++ b/src/spread/Repair.cpp
@@ -1,114 +1,125 @@
 #include "spread/Frames.h"
 #include "spread/Spreader.h"
 
-// The lazy half of a Spreader: what a neighbour tells of a newer document, and
-// asking for it. One pull for each topic is under way at a time; where it stays
-// unanswered, or its link is lost, another that has the document is asked. A
-// document comes in parts, in order over one link, and counts only once it is
-// whole and has the hash that was stated.
+// The pull half of Spreader: it handles stamps that neighbours report, and
+// pulls the documents that this node lacks. Each topic has at most one pull at
+// a time; if it stays unanswered or its link is lost, another neighbour that
+// has the document is asked. A document arrives in parts, in order over one
+// link, and is used only once it is complete and has the stated hash.
 
 namespace hickorylift {
 
-void Spreader::notice(LinkId From, const std::string &Name, const Stamp &Theirs,
-                      TimePoint Now) {
-  TopicOnLink &There = this->Links[From].Topics[Name];
-  There.Theirs = std::max(There.Theirs, Theirs);
-  Topic &State = this->Topics[Name];
-  Stamp Ours = stampOf(State.Held);
+void Spreader::onNeighbourStamp(LinkId From, const std::string &Name,
+                                const Stamp &Reported, TimePoint Now) {
+  TopicOnLink &OnLink = this->Links[From].Topics[Name];
+  OnLink.NeighbourStamp = std::max(OnLink.NeighbourStamp, Reported);
+  TopicState &State = this->Topics[Name];
+  Stamp Ours = stampOrNull(State.Stored);
   if (!this->Opts.Guards.RepairByStamps)
     return;
-  if (Theirs > Ours) {
-    // Nobody pushes to a node what it never had: there is nothing to wait for.
-    Millis Delay = State.Held ? this->Opts.GraftDelay : Millis(0);
-    this->startPull(From, Name, Now + Delay);
-    if (!State.Held)
-      this->drivePull(Name, State, Now);
+  if (Reported > Ours) {
+    // Neighbours do not push a document to a node that has never had a version
+    // of it, so there is no push to wait for.
+    Millis Delay = State.Stored ? this->Opts.GraftDelay : Millis(0);
+    this->schedulePull(From, Name, Now + Delay);
+    if (!State.Stored)
+      this->advancePull(Name, State, Now);
     return;
   }
-  // The neighbour is behind: it was away, or a push was lost. It will hear our
-  // stamp in a heartbeat at the latest; telling it now saves that wait.
-  if (Theirs < Ours && State.Held) {
+  // The neighbour has an older document: it was disconnected, or a push was
+  // lost. It receives this node's stamp in a heartbeat at the latest;
+  // announcing it now saves that wait.
+  if (Reported < Ours && State.Stored) {
     wire::AnnounceT Announce;
     Announce.topic = Name;
-    Announce.held = wireStamp(Ours);
-    this->Hook.Send(From, frameOf(std::move(Announce)));
+    Announce.held = makeWireStamp(Ours);
+    this->Hook.Send(From, makeFrame(std::move(Announce)));
     ++this->Counts.Announces;
   }
 }
 
-void Spreader::startPull(LinkId From, const std::string &Name, TimePoint At) {
-  Topic &State = this->Topics[Name];
-  bool Sooner = State.PullAt && !State.PullSent && At < *State.PullAt;
-  if (State.PullAt && !Sooner)
+void Spreader::schedulePull(LinkId From, const std::string &Name,
+                            TimePoint At) {
+  TopicState &State = this->Topics[Name];
+  bool Sooner = State.NextPullAt && !State.PullSent && At < *State.NextPullAt;
+  if (State.NextPullAt && !Sooner)
     return;
-  State.PullAt = At;
+  State.NextPullAt = At;
   State.PullFrom = From;
   State.PullSent = false;
 }
 
 void Spreader::sendPull(LinkId To, const std::string &Name,
-                        const Topic &State) {
+                        const TopicState &State) {
   wire::PullT Pull;
   Pull.topic = Name;
-  Pull.have = wireStamp(stampOf(State.Held));
-  // Held but not accepted, and nothing older in force: a node that starts
-  // after a bad version was published would serve nothing for ever.
-  if (State.Held && !State.Accepted && this->Opts.Guards.AskOlder)
-    Pull.below = wireStamp(State.Held->stamp());
-  this->Hook.Send(To, frameOf(std::move(Pull)));
+  Pull.have = makeWireStamp(stampOrNull(State.Stored));
+  // This node stores a document that it did not accept, and has accepted no
+  // older one: ask for an older one as well. Otherwise a node that starts after
+  // a bad version was published would serve nothing forever.
+  if (State.Stored && !State.Accepted && this->Opts.Guards.AskOlder)
+    Pull.below = makeWireStamp(State.Stored->stamp());
+  this->Hook.Send(To, makeFrame(std::move(Pull)));
   ++this->Counts.Pulls;
 }
 
-std::optional<LinkId> Spreader::linkHolding(const Topic &State,
-                                            const std::string &Name,
-                                            LinkId NotThis) {
-  std::vector<LinkId> Fit;
-  for (auto &[Id, On] : this->Links)
-    if (Id != NotThis && On.Topics[Name].Theirs > stampOf(State.Held))
-      Fit.push_back(Id);
-  if (!Fit.empty())
-    return Fit[this->Random() % Fit.size()];
-  if (this->Links.count(NotThis))
-    return NotThis;
+// Returns a random link to a neighbour with a newer document. Excluded is
+// returned only if there is no other.
+std::optional<LinkId> Spreader::chooseLinkWithNewer(const TopicState &State,
+                                                    const std::string &Name,
+                                                    LinkId Excluded) {
+  std::vector<LinkId> Candidates;
+  for (auto &[Id, LinkState] : this->Links)
+    if (Id != Excluded &&
+        LinkState.Topics[Name].NeighbourStamp > stampOrNull(State.Stored))
+      Candidates.push_back(Id);
+  if (!Candidates.empty())
+    return Candidates[this->Random() % Candidates.size()];
+  if (this->Links.count(Excluded))
+    return Excluded;
   return std::nullopt;
 }
 
-void Spreader::drivePull(const std::string &Name, Topic &State, TimePoint Now) {
-  if (!State.PullAt) {
-    if (!State.Held || State.Accepted || this->Links.empty())
+void Spreader::advancePull(const std::string &Name, TopicState &State,
+                           TimePoint Now) {
+  if (!State.NextPullAt) {
+    if (!State.Stored || State.Accepted || this->Links.empty())
       return;
-    auto Any = this->Links.begin();
-    std::advance(Any, this->Random() % this->Links.size());
-    this->sendPull(Any->first, Name, State);
-    State.PullAt = Now + this->Opts.PullTimeout;
+    // No version was accepted yet: ask a random neighbour for an older one.
+    auto Chosen = this->Links.begin();
+    std::advance(Chosen, this->Random() % this->Links.size());
+    this->sendPull(Chosen->first, Name, State);
+    State.NextPullAt = Now + this->Opts.PullTimeout;
     State.PullSent = true;
-    State.PullFrom = Any->first;
+    State.PullFrom = Chosen->first;
     return;
   }
-  if (Now < *State.PullAt)
+  if (Now < *State.NextPullAt)
     return;
   if (!State.PullSent && this->Links.count(State.PullFrom)) {
     this->sendPull(State.PullFrom, Name, State);
     State.PullSent = true;
-    State.PullAt = Now + this->Opts.PullTimeout;
+    State.NextPullAt = Now + this->Opts.PullTimeout;
     return;
   }
-  // Unanswered or its link is gone: ask another that has it.
-  auto Next = this->linkHolding(State, Name, State.PullFrom);
-  State.PullAt.reset();
+  // The pull was not answered or its link was closed: ask another neighbour
+  // that has the document.
+  auto Next = this->chooseLinkWithNewer(State, Name, State.PullFrom);
+  State.NextPullAt.reset();
   if (Next)
-    this->startPull(*Next, Name, Now);
+    this->schedulePull(*Next, Name, Now);
 }
 
 void Spreader::onPull(LinkId From, const wire::PullT &Pull, TimePoint Now) {
-  Topic &State = this->Topics[Pull.topic];
-  TopicOnLink &There = this->Links[From].Topics[Pull.topic];
-  There.Lazy = false;
+  TopicState &State = this->Topics[Pull.topic];
+  TopicOnLink &OnLink = this->Links[From].Topics[Pull.topic];
+  OnLink.Lazy = false;
   Stamp Have = fromWire(Pull.have.get());
   Stamp Below = fromWire(Pull.below.get());
-  if (State.Held && State.Held->stamp() > Have) {
-    this->sendDocument(From, Pull.topic, State.Held, Have, /*Asked=*/true, Now);
-    There.Theirs = State.Held->stamp();
+  if (State.Stored && State.Stored->stamp() > Have) {
+    this->sendDocument(From, Pull.topic, State.Stored, Have, /*Asked=*/true,
+                       Now);
+    OnLink.NeighbourStamp = State.Stored->stamp();
     return;
   }
   if (!Below.isNull() && State.Accepted && State.Accepted->stamp() < Below)
@@ -116,64 +127,66 @@
                        /*Asked=*/true, Now);
 }
 
-void Spreader::onPart(LinkId From, Link &On, const wire::PartT &Part,
+void Spreader::onPart(LinkId From, Link &LinkState, const wire::PartT &Part,
                       TimePoint Now) {
-  Topic &State = this->Topics[Part.topic];
-  TopicOnLink &There = On.Topics[Part.topic];
+  TopicState &State = this->Topics[Part.topic];
+  TopicOnLink &OnLink = LinkState.Topics[Part.topic];
   Stamp Target = fromWire(Part.target.get());
-  There.Theirs = std::max(There.Theirs, Target);
-  bool Wanted = State.Held && !State.Accepted;
-  if (this->isOld(Target, State.Held) && !Wanted) {
+  OnLink.NeighbourStamp = std::max(OnLink.NeighbourStamp, Target);
+  bool WantsOlder = State.Stored && !State.Accepted;
+  if (this->isOutdated(Target, State.Stored) && !WantsOlder) {
     if (Part.index + 1 != Part.count)
       return;
-    // It came another way first: this link need only announce.
+    // The document has already arrived over another link, so this link becomes
+    // lazy: the neighbour need only announce on it.
     ++this->Counts.Duplicates;
     wire::PruneT Prune;
     Prune.topic = Part.topic;
-    this->Hook.Send(From, frameOf(std::move(Prune)));
+    this->Hook.Send(From, makeFrame(std::move(Prune)));
     return;
   }
-  Assembly &Gathered = There.Incoming;
+  PartialChangeSet &Partial = OnLink.Incoming;
   if (Part.index == 0) {
-    Gathered = Assembly();
-    Gathered.Base = fromWire(Part.base.get());
-    Gathered.Target = Target;
-    Gathered.Count = Part.count;
-    Gathered.RawSize = Part.raw_size;
+    Partial = PartialChangeSet();
+    Partial.Base = fromWire(Part.base.get());
+    Partial.Target = Target;
+    Partial.PartCount = Part.count;
+    Partial.RawSize = Part.raw_size;
   }
-  bool Follows = Gathered.Target == Target && Gathered.Next == Part.index &&
-                 Gathered.Count == Part.count;
+  bool Follows = Partial.Target == Target && Partial.NextPart == Part.index &&
+                 Partial.PartCount == Part.count;
   bool Fits =
-      Gathered.Bytes.size() + Part.bytes.size() <= this->Opts.MaxChangeSetBytes;
+      Partial.Bytes.size() + Part.bytes.size() <= this->Opts.MaxChangeSetBytes;
   if (!Follows || !Fits) {
     ++this->Counts.Damaged;
-    Gathered = Assembly();
+    Partial = PartialChangeSet();
     return;
   }
-  Gathered.Bytes.append(Part.bytes.begin(), Part.bytes.end());
-  ++Gathered.Next;
-  // Still arriving: do not ask another for the same.
-  if (State.PullAt && State.PullFrom == From)
-    State.PullAt = Now + this->Opts.PullTimeout;
-  if (Gathered.Next == Gathered.Count)
-    this->finishAssembly(From, On, Part.topic,
-                         std::exchange(Gathered, Assembly()), Now);
+  Partial.Bytes.append(Part.bytes.begin(), Part.bytes.end());
+  ++Partial.NextPart;
+  // The document is still arriving: put off asking another neighbour for it.
+  if (State.NextPullAt && State.PullFrom == From)
+    State.NextPullAt = Now + this->Opts.PullTimeout;
+  if (Partial.NextPart == Partial.PartCount)
+    this->applyChangeSet(From, LinkState, Part.topic,
+                         std::exchange(Partial, PartialChangeSet()), Now);
 }
 
-void Spreader::finishAssembly(LinkId From, Link &On, const std::string &Name,
-                              const Assembly &Whole, TimePoint Now) {
-  Topic &State = this->Topics[Name];
+void Spreader::applyChangeSet(LinkId From, Link &LinkState,
+                              const std::string &Name,
+                              const PartialChangeSet &Whole, TimePoint Now) {
+  TopicState &State = this->Topics[Name];
   DocumentPtr Base;
   if (!Whole.Base.isNull()) {
-    Base = stampOf(State.Held) == Whole.Base
-               ? State.Held
-               : this->findBase(State, Whole.Base);
+    Base = stampOrNull(State.Stored) == Whole.Base
+               ? State.Stored
+               : this->findDeltaBase(State, Whole.Base);
     if (!Base) {
-      // A delta to something that we never had: ask again, stating what we
-      // have, and get a snapshot.
+      // The base of this delta is not stored here. Pull again: the pull states
+      // what is stored, and the neighbour answers with a snapshot.
       ++this->Counts.Damaged;
-      State.PullAt.reset();
-      this->startPull(From, Name, Now);
+      State.NextPullAt.reset();
+      this->schedulePull(From, Name, Now);
       return;
     }
   }
@@ -184,14 +197,14 @@
               : Result<DocumentPtr>(Changes.error());
   if (!Doc) {
     ++this->Counts.Damaged;
-    State.PullAt.reset();
-    this->startPull(From, Name, Now + this->Opts.PullTimeout);
+    State.NextPullAt.reset();
+    this->schedulePull(From, Name, Now + this->Opts.PullTimeout);
     return;
   }
-  if (!this->isOld((*Doc)->stamp(), State.Held))
-    this->take(Name, *Doc, On.Peer, From, Now);
+  if (!this->isOutdated((*Doc)->stamp(), State.Stored))
+    this->storeDocument(Name, *Doc, LinkState.Peer, From, Now);
   else
-    this->judge(Name, State, *Doc, On.Peer, Now);
+    this->offerForAcceptance(Name, State, *Doc, LinkState.Peer, Now);
 }
 
 } // namespace hickorylift
