--- a/bench/Slopes.cpp
+++ b/bench/Slopes.cpp
@@ -2,7 +2,7 @@
 
 #include "base/Hash.h"
 #include "config/Config.h"
-#include "gate/KeyJudge.h"
+#include "gate/IdempotencyChecker.h"
 #include "membership/Membership.h"
 #include "spread/Spreader.h"
 
--- a/src/calls/Entry.cpp
+++ b/src/calls/Entry.cpp
@@ -1,7 +1,7 @@
 #include "calls/Entry.h"
 
 #include "base/Hash.h"
-#include "gate/KeyJudge.h"
+#include "gate/IdempotencyChecker.h"
 
 #include <algorithm>
 
@@ -130,11 +130,11 @@
 
 // A body that is read ahead is whole here. Of a longer one the gate judges, and
 // of one whose length is not known the bytes do not count, here or there.
-Quarantine::Verdict Entry::judge(Call &One, TimePoint Now) const {
+Quarantine::Decision Entry::judge(Call &One, TimePoint Now) const {
   bool HasBody = One.Head.Length > 0;
   if (HasBody && !One.Request.finished())
     return {};
-  One.Print = fingerprintOf(
+  One.Print = computeFingerprint(
       One.Head, findHeader(One.Head.Headers, this->Opts.Names.Customer),
       HasBody ? One.Request.held() : std::string_view());
   return this->Hook.Judge(One.Print, Now);
@@ -142,13 +142,13 @@
 
 void Entry::route(CallerId Caller, TimePoint Now) {
   Call &One = this->Calls.at(Caller);
-  Quarantine::Verdict Known = this->judge(One, Now);
-  if (Known.What == Quarantine::Standing::Held) {
+  Quarantine::Decision Known = this->judge(One, Now);
+  if (Known.RequestStatus == Quarantine::Status::Quarantined) {
     Refusal Why = this->refusal(Outcome::NotRun, Quarantined, StepEntry, "");
-    Why.RetryAfter = Known.ComeBack;
+    Why.RetryAfter = Known.RetryAfter;
     return this->giveUp(Caller, Why, Now);
   }
-  One.OnTrial = Known.What == Quarantine::Standing::Trial;
+  One.OnTrial = Known.RequestStatus == Quarantine::Status::Trial;
   const Instance *Gate = this->chooseGate(One, Now);
   if (Gate)
     return this->assign(Caller, One, *Gate, Now);
--- a/src/calls/Entry.h
+++ b/src/calls/Entry.h
@@ -166,8 +166,8 @@
     /// Stops or resumes reading the request's body from the caller.
     std::function<void(CallerId, bool Paused)> PauseRequest;
     /// What is known against a request.
-    std::function<Quarantine::Verdict(const Fingerprint &, TimePoint)> Judge =
-        [](const Fingerprint &, TimePoint) { return Quarantine::Verdict(); };
+    std::function<Quarantine::Decision(const Fingerprint &, TimePoint)> Judge =
+        [](const Fingerprint &, TimePoint) { return Quarantine::Decision(); };
   };
 
   struct Counters {
@@ -318,7 +318,7 @@
   const Route *findRoute(const RequestHead &Head) const;
   const Instance *chooseGate(const Call &One, TimePoint Now);
   const Instance *trialGate(const Call &One, TimePoint Now) const;
-  Quarantine::Verdict judge(Call &One, TimePoint Now) const;
+  Quarantine::Decision judge(Call &One, TimePoint Now) const;
   void assign(CallerId Caller, Call &One, const Instance &Gate, TimePoint Now);
   wire::OpenT openFrame(const Call &One, const CallId &Id,
                         const std::string &Gate, TimePoint Now) const;
--- a/src/calls/EntryRequests.cpp
+++ b/src/calls/EntryRequests.cpp
@@ -136,7 +136,7 @@
   Out.Taken = this->findRoute(Head);
   Call One = this->makeCall(Head, *Out.Taken, Now);
   if (Head.Length == 0 &&
-      this->judge(One, Now).What == Quarantine::Standing::Held) {
+      this->judge(One, Now).RequestStatus == Quarantine::Status::Quarantined) {
     Out.Note = "refused here: quarantined";
     return Out;
   }
--- a/src/calls/EntryTest.cpp
+++ b/src/calls/EntryTest.cpp
@@ -36,7 +36,7 @@
   // Run as a caller is refused.
   std::function<void(Entry::CallerId)> OnRefuse = [](Entry::CallerId) {};
   // What stands against every request, and which were asked about.
-  Quarantine::Verdict Known;
+  Quarantine::Decision Known;
   std::vector<Fingerprint> Judged;
   TimePoint Now = Start;
 
@@ -314,7 +314,7 @@
 // A request that has crashed three upstreams comes again. It is refused before
 // any gate hears of it, truly as not run, until its term is over.
 BOOST_FIXTURE_TEST_CASE(WhatIsHeldIsRefusedAtOnce, Fixture) {
-  this->Known = {Quarantine::Standing::Held, Millis(60000)};
+  this->Known = {Quarantine::Status::Quarantined, Millis(60000)};
   this->request(1, "/read/1");
   BOOST_TEST(this->Refused[1] == "not-run quarantined");
   BOOST_TEST((this->ComeBack[1] == Millis(60000)));
@@ -353,7 +353,7 @@
 // gate, or each of them would crash an upstream with its trial; and who finds
 // no room there is not sent to another.
 BOOST_FIXTURE_TEST_CASE(ATrialHasOnePlace, Fixture) {
-  this->Known = {Quarantine::Standing::Trial, Millis(0)};
+  this->Known = {Quarantine::Status::Trial, Millis(0)};
   for (Entry::CallerId Id = 1; Id <= 20; ++Id)
     this->request(Id, "/read/1");
   BOOST_REQUIRE(this->Dialled.size() == 1u);
@@ -378,7 +378,7 @@
   std::map<std::string, std::string> Homes;
   for (const char *Key : {"k1", "k2", "k3", "k4", "k5", "k6"})
     Homes[Key] = HomeOf(Key);
-  this->Known = {Quarantine::Standing::Trial, Millis(0)};
+  this->Known = {Quarantine::Status::Trial, Millis(0)};
   Entry::CallerId Id = 0;
   for (const auto &[Key, Home] : Homes) {
     RequestHead Head;
@@ -408,7 +408,7 @@
   auto [Gate, Open] = this->opens().back();
   this->fail(Gate, Open->seq, wire::Outcome::Unknown, "upstream-crashed");
   BOOST_REQUIRE(this->Judged.size() == 2u);
-  BOOST_TEST((this->Judged[0] == fingerprintOf(Head, "", "")));
+  BOOST_TEST((this->Judged[0] == computeFingerprint(Head, "", "")));
   BOOST_TEST((this->Judged[1] == this->Judged[0]));
 }
 
@@ -420,8 +420,8 @@
   Head.Path = "/write/1";
   Head.Length = 20000;
   BOOST_REQUIRE(this->Judged.size() == 1u);
-  BOOST_TEST(
-      (this->Judged[0] == fingerprintOf(Head, "", std::string(20000, 'x'))));
+  BOOST_TEST((this->Judged[0] ==
+              computeFingerprint(Head, "", std::string(20000, 'x'))));
 }
 
 BOOST_FIXTURE_TEST_CASE(UnknownOutcomeOfUnsafeCallIsNotRepeated, Fixture) {
--- a/src/calls/Gate.cpp
+++ b/src/calls/Gate.cpp
@@ -49,17 +49,17 @@
 
 void Gate::members(const std::vector<const Instance *> &Upstreams,
                    TimePoint Now) {
-  this->Judge.members(Upstreams, Now);
+  this->Judge.setUpstreams(Upstreams, Now);
   for (const Instance *One : Upstreams) {
     if (One->Name != this->Opts.Self)
       continue;
     if (this->ListedAs && !One->sameStart(*this->ListedAs)) {
-      this->Slots.restarted(Now);
+      this->Slots.upstreamRestarted(Now);
       this->doubtWarm(Now);
     }
     this->ListedAs = *One;
-    this->Slots.coldStart().named(One->Upstream, Now);
-    this->Slots.coldStart().listed(One->ColdLeft, Now);
+    this->Slots.coldStart().observeUpstream(One->Upstream, Now);
+    this->Slots.coldStart().listReported(One->ColdLeft, Now);
     if (One->Slots == this->ListedSlots)
       continue;
     this->ListedSlots = One->Slots;
@@ -152,15 +152,15 @@
     return NotRun("not-my-service");
   if (this->Gone)
     return NotRun(UpstreamIsGone);
-  this->Slots.coldStart().named(Open.upstream, Now);
+  this->Slots.coldStart().observeUpstream(Open.upstream, Now);
   this->askWhetherCold(Now);
   if (this->Calls.size() > this->Opts.MaxRemembered)
     return NotRun("memory-full");
-  Admission::Ask &Wanted = One.Wanted;
+  Admission::Request &Wanted = One.Wanted;
   Wanted.Id = Id;
   Wanted.Deadline = One.Deadline;
   Wanted.Priority = Open.priority;
-  Wanted.Class = Open.caller_class;
+  Wanted.CallerClass = Open.caller_class;
   Wanted.Target = Now + Millis(Open.target_ms);
   Wanted.Kind = Open.route;
   Wanted.Rank = Open.rank;
@@ -171,14 +171,14 @@
 
 void Gate::admit(const CallId &Id, Call &One, TimePoint Now) {
   One.Fetching = false;
-  Admission::Ask Wanted = One.Wanted;
-  Wanted.Bound = this->limitNamed(One.LimitName);
-  Admission::Answer Room = this->Slots.ask(Wanted, Now);
-  if (Room.What == Admission::Verdict::Refuse) {
-    Room.Why.Peer = this->Opts.Self;
-    return this->refuse(Id, One, Room.Why, Now);
+  Admission::Request Wanted = One.Wanted;
+  Wanted.RouteLimit = this->limitNamed(One.LimitName);
+  Admission::Result Room = this->Slots.admit(Wanted, Now);
+  if (Room.Action == Admission::Decision::Refuse) {
+    Room.RefusalDetails.Peer = this->Opts.Self;
+    return this->refuse(Id, One, Room.RefusalDetails, Now);
   }
-  if (Room.What == Admission::Verdict::Run)
+  if (Room.Action == Admission::Decision::Run)
     this->takeSlot(Id, One, Now);
 }
 
@@ -187,20 +187,20 @@
     return true;
   uint64_t Fingerprint =
       combineHash(contentHash(One.Head.Method), contentHash(One.Head.Path));
-  KeyJudge::Answer Known = this->Judge.ask(
+  IdempotencyChecker::Result Known = this->Judge.check(
       One.Key, Fingerprint, this->Of->KeyWindow, this->Hook.ListAge(Now), Now);
-  if (Known.What == KeyJudge::Verdict::Run)
+  if (Known.Action == IdempotencyChecker::Decision::Run)
     return true;
   One.Key.clear(); // another call's: its end must not touch the record
   this->Slots.finished(Id, /*Answered=*/false, Now);
-  if (Known.What == KeyJudge::Verdict::Replay)
+  if (Known.Action == IdempotencyChecker::Decision::Replay)
     this->replay(Id, One, std::move(Known), Now);
   else
-    this->refuse(Id, One, Known.Why, Now);
+    this->refuse(Id, One, Known.RefusalDetails, Now);
   return false;
 }
 
-void Gate::replay(const CallId &Id, Call &One, KeyJudge::Answer Known,
+void Gate::replay(const CallId &Id, Call &One, IdempotencyChecker::Result Known,
                   TimePoint Now) {
   One.Now = State::Finished;
   One.HaveHead = true;
@@ -221,16 +221,16 @@
                         Now);
   if (!this->mayRun(Id, One, Now) || !this->judgeKey(Id, One, Now))
     return;
-  if (std::optional<Admission::Answer> No = this->Slots.start(Now)) {
+  if (std::optional<Admission::Result> No = this->Slots.reserveCapacity(Now)) {
     if (!One.Key.empty())
-      this->Judge.notRun(One.Key);
-    No->Why.Peer = this->Opts.Self;
-    return this->refuse(Id, One, std::move(No->Why), Now);
+      this->Judge.recordNotRun(One.Key);
+    No->RefusalDetails.Peer = this->Opts.Self;
+    return this->refuse(Id, One, std::move(No->RefusalDetails), Now);
   }
   One.Now = State::Running;
   One.Unsent = true;
   One.StartedAt = Now;
-  this->Watch.started(Id, One.Print, One.Suspected);
+  this->Watch.runStarted(Id, One.Print, One.Suspected);
   ++this->Counts.Started;
   // What the upstream calls in turn has this much left.
   setHeader(One.Head.Headers, this->Opts.Names.Budget,
@@ -238,7 +238,7 @@
   if (!this->Opts.Names.Expect.empty() && !One.Upstream.empty())
     setHeader(One.Head.Headers, this->Opts.Names.Expect, One.Upstream);
   this->Hook.Start(Id, One.Head, One.Idempotent);
-  if (std::exchange(One.BodyHeld, false) && this->Transfers.ask(Id, Now))
+  if (std::exchange(One.BodyHeld, false) && this->Transfers.request(Id, Now))
     this->askForBody(Id, One);
   std::string Early = std::exchange(One.EarlyBody, "");
   this->forwardBody(Id, One, Early);
@@ -318,8 +318,8 @@
   if (One.isUnseen() || One.Now == State::Running)
     this->Slots.finished(Id, /*Answered=*/false, Now);
   this->settleSend(One);
-  this->Transfers.forget(Id);
-  this->Watch.forget(Id);
+  this->Transfers.cancel(Id);
+  this->Watch.removeRun(Id);
   ++this->Counts.RefusedBy[Why.Reason];
   One.Now = State::Refused;
   One.Fetching = false;
@@ -333,13 +333,13 @@
                     TimePoint Now) {
   if (One.Now == State::Running) {
     this->Hook.Cancel(Id);
-    this->Watch.cancelled(Id, Now);
+    this->Watch.runCancelled(Id, Now);
     this->Slots.finished(Id, /*Answered=*/false, Now);
   }
   this->settleSend(One);
-  this->Transfers.forget(Id);
+  this->Transfers.cancel(Id);
   if (!One.Key.empty())
-    this->Judge.lost(One.Key, Now);
+    this->Judge.recordOutcomeUnknown(One.Key, Now);
   ++this->Counts.Unknown;
   One.Now = State::Refused;
   One.Why = Why;
@@ -347,13 +347,13 @@
 }
 
 void Gate::pump(TimePoint Now) {
-  Admission::Next Turn = this->Slots.next(Now);
-  for (Admission::Dropped &Late : Turn.Drop) {
-    Late.Why.Peer = this->Opts.Self;
+  Admission::QueueUpdate Turn = this->Slots.advanceQueue(Now);
+  for (Admission::DroppedCall &Late : Turn.ToDrop) {
+    Late.RefusalDetails.Peer = this->Opts.Self;
     if (Call *One = this->find(Late.Id))
-      this->refuse(Late.Id, *One, std::move(Late.Why), Now);
+      this->refuse(Late.Id, *One, std::move(Late.RefusalDetails), Now);
   }
-  for (const CallId &Id : Turn.Run)
+  for (const CallId &Id : Turn.ToRun)
     if (Call *One = this->find(Id))
       this->takeSlot(Id, *One, Now);
   this->grantTransfers(Now);
@@ -426,7 +426,7 @@
 }
 
 void Gate::tick(TimePoint Now) {
-  this->Slots.coldStart().watch(Now);
+  this->Slots.coldStart().startCounting(Now);
   this->endOrphans(Now);
   this->lookForUpstream(Now);
   this->askWhetherCold(Now);
--- a/src/calls/Gate.h
+++ b/src/calls/Gate.h
@@ -6,9 +6,9 @@
 #include "calls/Message.h"
 #include "config/Config.h"
 #include "gate/Admission.h"
-#include "gate/KeyJudge.h"
-#include "gate/RunWatch.h"
-#include "gate/TransferTurns.h"
+#include "gate/CrashDetector.h"
+#include "gate/IdempotencyChecker.h"
+#include "gate/TransferScheduler.h"
 
 #include <functional>
 #include <map>
@@ -64,16 +64,16 @@
     /// Of the upstream's slots and queue.
     Admission::Options Slots;
     /// Of the long bodies that come to the upstream.
-    TransferTurns::Options Transfers;
+    TransferScheduler::Options Transfers;
     /// Where bodies take this long, they come before the call has a slot. Less
     /// is a small part of most runs, and a body that comes first may come for
     /// nothing, for the slots may be taken when it is there: on fast links that
     /// only sends more bytes between data centres.
     Millis FetchFirstFrom{25};
     /// Of the idempotency keys.
-    KeyJudge::Options Keys;
+    IdempotencyChecker::Options Keys;
     /// Of what runs at the upstream when it crashes.
-    RunWatch::Options Runs;
+    CrashDetector::Options Runs;
     /// Advice to the caller of a suspect that found another one running here,
     /// and no other gate: about a run.
     Millis SuspectComeBack{100};
@@ -101,14 +101,16 @@
       return Millis(0);
     };
     /// What is known against a request.
-    std::function<Quarantine::Verdict(const Fingerprint &, TimePoint)> Judge =
-        [](const Fingerprint &, TimePoint) { return Quarantine::Verdict(); };
+    std::function<Quarantine::Decision(const Fingerprint &, TimePoint)> Judge =
+        [](const Fingerprint &, TimePoint) { return Quarantine::Decision(); };
     /// A request ran to an answer.
     std::function<void(const Fingerprint &, TimePoint)> RanWell =
         [](const Fingerprint &, TimePoint) {};
     /// The upstream crashed under these.
-    std::function<void(const std::vector<Quarantine::Ran> &, TimePoint)>
-        Crashed = [](const std::vector<Quarantine::Ran> &, TimePoint) {};
+    std::function<void(const std::vector<Quarantine::RunningRequest> &,
+                       TimePoint)>
+        Crashed =
+            [](const std::vector<Quarantine::RunningRequest> &, TimePoint) {};
     /// Asks the upstream how it is, at this path or, where it is empty, the
     /// usual one; upstreamTold follows, within Slots.Cold.AskAgain or never.
     std::function<void(const std::string &Path)> AskHealth =
@@ -158,7 +160,7 @@
   bool isDrainedBy(const std::string &By) const {
     return this->Slots.isDrainedBy(By);
   }
-  std::string drainedBy() const { return this->Slots.drainedBy(); }
+  std::string drainedBy() const { return this->Slots.drainReasons(); }
   /// The upstream may have become cold unseen.
   void doubtWarm(TimePoint Now);
   bool isCold(TimePoint Now) { return this->Slots.coldStart().isCold(Now); }
@@ -203,7 +205,7 @@
     bool BodyHeld = false;
     // Waits for its body, and asks for a slot when that is whole.
     bool Fetching = false;
-    Admission::Ask Wanted;
+    Admission::Request Wanted;
     std::string LimitName;
     std::string Key;
     bool Idempotent = false;
@@ -250,7 +252,7 @@
   void judge(const CallId &Id, Call &One, const wire::OpenT &Open,
              TimePoint Now);
   bool judgeKey(const CallId &Id, Call &One, TimePoint Now);
-  void replay(const CallId &Id, Call &One, KeyJudge::Answer Known,
+  void replay(const CallId &Id, Call &One, IdempotencyChecker::Result Known,
               TimePoint Now);
   void takeSlot(const CallId &Id, Call &One, TimePoint Now);
   void start(const CallId &Id, Call &One, TimePoint Now);
@@ -302,9 +304,9 @@
   Options Opts;
   Hooks Hook;
   Admission Slots;
-  KeyJudge Judge;
-  TransferTurns Transfers;
-  RunWatch Watch;
+  IdempotencyChecker Judge;
+  TransferScheduler Transfers;
+  CrashDetector Watch;
   // Nobody takes connections at the upstream's address.
   bool Gone = false;
   // A probe is under way, or found nothing clear and is to be repeated.
--- a/src/calls/GateBodies.cpp
+++ b/src/calls/GateBodies.cpp
@@ -1,8 +1,8 @@
 #include "calls/Gate.h"
 
 // How bodies come to the gate. What all entries send shares the link of this
-// machine, so long bodies come a few at a time (TransferTurns), each when its
-// entry is asked for it: before its call takes a slot where links are slow,
+// machine, so long bodies come a few at a time (TransferScheduler), each when
+// its entry is asked for it: before its call takes a slot where links are slow,
 // after that on fast ones.
 //
 // The upstream sees nothing of a call whose body can be held here before that
@@ -20,7 +20,7 @@
 
 bool Gate::fetchesFirst(const Call &One, TimePoint Now) const {
   return One.BodyHeld && this->isHoldable(One) &&
-         this->Transfers.usual(Now) >= this->Opts.FetchFirstFrom;
+         this->Transfers.usualTime(Now) >= this->Opts.FetchFirstFrom;
 }
 
 // A slot that waits for a body is missing to others: on a link of 7 Mbit/s a
@@ -31,22 +31,22 @@
 // Bodies that cannot be whole in time are refused before they fill the link:
 // where more come than it carries, all would be late else.
 void Gate::fetch(const CallId &Id, Call &One, TimePoint Now) {
-  std::optional<Admission::Answer> No =
+  std::optional<Admission::Result> No =
       this->Slots.wouldRefuse(One.Wanted, Now);
-  Clock::duration Whole = this->Transfers.expected(Now);
-  if (!No && !this->Slots.onTarget(One.Wanted, Whole, Now)) {
+  Clock::duration Whole = this->Transfers.expectedTime(Now);
+  if (!No && !this->Slots.canMeetTarget(One.Wanted, Whole, Now)) {
     No.emplace();
-    No->Why =
+    No->RefusalDetails =
         makeRefusal(Outcome::NotRun, "overload", "transfer", this->Opts.Self);
-    No->Why.RetryAfter = toMillis(Whole);
+    No->RefusalDetails.RetryAfter = toMillis(Whole);
   }
   if (No) {
-    No->Why.Peer = this->Opts.Self;
-    return this->refuse(Id, One, No->Why, Now);
+    No->RefusalDetails.Peer = this->Opts.Self;
+    return this->refuse(Id, One, No->RefusalDetails, Now);
   }
   One.Fetching = true;
   One.BodyHeld = false;
-  if (this->Transfers.ask(Id, Now))
+  if (this->Transfers.request(Id, Now))
     this->askForBody(Id, One);
 }
 
@@ -58,7 +58,7 @@
   if (!std::exchange(One.BodyHeld, false))
     // What came while it waited had no credit, and the rest waits for that.
     this->creditBody(Id, One);
-  else if (this->Transfers.ask(Id, Now))
+  else if (this->Transfers.request(Id, Now))
     this->askForBody(Id, One);
 }
 
@@ -72,7 +72,7 @@
 }
 
 void Gate::grantTransfers(TimePoint Now) {
-  for (const CallId &Id : this->Transfers.next(Now))
+  for (const CallId &Id : this->Transfers.startNext(Now))
     if (Call *One = this->find(Id);
         One && (One->Now == State::Running || One->isUnseen()))
       this->askForBody(Id, *One);
@@ -127,7 +127,7 @@
     this->forwardBody(Id, *One, *New);
   if (!Whole)
     return;
-  this->Transfers.ended(Id, Now);
+  this->Transfers.finished(Id, Now);
   this->grantTransfers(Now);
 }
 
--- a/src/calls/GateCrashes.cpp
+++ b/src/calls/GateCrashes.cpp
@@ -18,19 +18,20 @@
 // Whether the call may start now. If not, it is refused.
 bool Gate::mayRun(const CallId &Id, Call &One, TimePoint Now) {
   bool Whole = One.Head.Length <= 0 || One.Request.ended();
-  One.Print = fingerprintOf(
+  One.Print = computeFingerprint(
       One.Head, findHeader(One.Head.Headers, this->Opts.Names.Customer),
       Whole && One.Head.Length > 0 ? One.EarlyBody : "");
-  Quarantine::Verdict Known = this->Hook.Judge(One.Print, Now);
-  One.Suspected = Known.What != Quarantine::Standing::Free || One.Crashes != 0;
-  bool Held = Known.What == Quarantine::Standing::Held;
+  Quarantine::Decision Known = this->Hook.Judge(One.Print, Now);
+  One.Suspected =
+      Known.RequestStatus != Quarantine::Status::Free || One.Crashes != 0;
+  bool Held = Known.RequestStatus == Quarantine::Status::Quarantined;
   bool Beside = One.Suspected && this->Watch.hasOtherSuspect(One.Print);
   if (!Held && !Beside)
     return true;
   Refusal Why =
       makeRefusal(Outcome::NotRun, Held ? "quarantined" : "beside-suspect",
                   StepAdmission, this->Opts.Self);
-  Why.RetryAfter = Held ? Known.ComeBack : this->Opts.SuspectComeBack;
+  Why.RetryAfter = Held ? Known.RetryAfter : this->Opts.SuspectComeBack;
   this->refuse(Id, One, std::move(Why), Now);
   return false;
 }
@@ -38,12 +39,12 @@
 void Gate::connectionEnded(const CallId &Id, Call &One, const Error &Why,
                            TimePoint Now) {
   One.Broken = Why;
-  switch (this->Watch.broke(Id, Now)) {
-  case RunWatch::Next::Probe:
+  switch (this->Watch.connectionLost(Id, Now)) {
+  case CrashDetector::Action::Probe:
     return this->probe();
-  case RunWatch::Next::Wait:
+  case CrashDetector::Action::Wait:
     return;
-  case RunWatch::Next::Crashed:
+  case CrashDetector::Action::AlreadyCrashed:
     this->failBroken(Id, UpstreamCrashed, Now);
     return this->pump(Now);
   }
@@ -55,22 +56,22 @@
   if (this->ProbeAgain)
     return;
   if (Found == UpstreamPort::Open) {
-    for (const CallId &Id : this->Watch.settle())
+    for (const CallId &Id : this->Watch.upstreamAlive())
       this->failBroken(Id, UpstreamClosed, Now);
     this->upstreamBack(Now);
     return this->pump(Now);
   }
-  RunWatch::Crash Of = this->Watch.crashed(Now);
-  std::vector<Quarantine::Ran> Ran;
+  CrashDetector::Crash Of = this->Watch.upstreamCrashed(Now);
+  std::vector<Quarantine::RunningRequest> Ran;
   for (const CallId &Id : Of.Suspects)
     if (const Call *One = this->find(Id))
       Ran.push_back({One->Print, describeRequest(One->Head)});
   // A leaving upstream ends by itself, and its port with it; a cold one under
   // more calls than it bears, whatever they are.
-  bool Explained = this->draining() || this->Slots.coldStart().isOverrun(Now);
+  bool Explained = this->draining() || this->Slots.coldStart().isOverLimit(Now);
   if (!Explained && !Ran.empty())
     this->Hook.Crashed(Ran, Now);
-  for (const CallId &Id : Of.Broken)
+  for (const CallId &Id : Of.BrokenRuns)
     this->failBroken(Id, UpstreamCrashed, Now);
   this->upstreamGone(Now);
   this->pump(Now);
@@ -97,7 +98,7 @@
 }
 
 void Gate::lookForUpstream(TimePoint Now) {
-  if (this->Watch.isProbeLate(Now))
+  if (this->Watch.isProbeOverdue(Now))
     return this->upstreamProbed(UpstreamPort::Open, Now);
   bool Due = this->Gone && Now >= this->NextLook;
   if (!Due && !this->ProbeAgain)
--- a/src/calls/GateCrashesTest.cpp
+++ b/src/calls/GateCrashesTest.cpp
@@ -9,7 +9,7 @@
 
 namespace data = boost::unit_test::data;
 
-using Standing = Quarantine::Standing;
+using Standing = Quarantine::Status;
 
 /// A gate with calls under way whose connections can end.
 struct Fixture : GateFixture {
@@ -104,7 +104,7 @@
   this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
   BOOST_REQUIRE(this->Crashes.size() == 1u);
   BOOST_TEST(this->Crashes[0].size() == 3u);
-  BOOST_TEST(this->Crashes[0][1].Request == "GET /2");
+  BOOST_TEST(this->Crashes[0][1].Description == "GET /2");
   this->connectionEnds(1);
   this->connectionEnds(3);
   BOOST_TEST(this->Probes == 1u);
@@ -175,7 +175,7 @@
 // A caller sends a request that is held. It must not reach the upstream, and
 // its caller is told truly that it has not run, and when to come back.
 BOOST_FIXTURE_TEST_CASE(WhatIsHeldIsRefused, Fixture) {
-  this->Known = {Standing::Held, Millis(5000)};
+  this->Known = {Standing::Quarantined, Millis(5000)};
   this->openPath(1, "/x");
   BOOST_TEST(this->Started.empty());
   BOOST_REQUIRE(this->failed());
@@ -227,8 +227,8 @@
   Head.Path = "/x";
   Head.Length = 20000;
   BOOST_REQUIRE(this->RanWell.size() == 1u);
-  BOOST_TEST(
-      (this->RanWell[0] == fingerprintOf(Head, "", std::string(20000, 'x'))));
+  BOOST_TEST((this->RanWell[0] ==
+              computeFingerprint(Head, "", std::string(20000, 'x'))));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/calls/GateFixture.h
+++ b/src/calls/GateFixture.h
@@ -31,9 +31,9 @@
   std::vector<std::pair<CallId, RequestHead>> Started;
   std::vector<CallId> Cancelled;
   /// What stands against every request.
-  Quarantine::Verdict Known;
+  Quarantine::Decision Known;
   /// The requests of each crash that the gate told of.
-  std::vector<std::vector<Quarantine::Ran>> Crashes;
+  std::vector<std::vector<Quarantine::RunningRequest>> Crashes;
   std::vector<Fingerprint> RanWell;
   size_t Probes = 0;
   /// Paths at which the upstream was asked how it is.
@@ -114,8 +114,9 @@
     Hooks.RanWell = [this](const Fingerprint &Of, TimePoint) {
       this->RanWell.push_back(Of);
     };
-    Hooks.Crashed = [this](const std::vector<Quarantine::Ran> &Running,
-                           TimePoint) { this->Crashes.push_back(Running); };
+    Hooks.Crashed =
+        [this](const std::vector<Quarantine::RunningRequest> &Running,
+               TimePoint) { this->Crashes.push_back(Running); };
     Hooks.Probe = [this] { ++this->Probes; };
     Hooks.AskHealth = [this](const std::string &Path) {
       this->AskedHealth.push_back(Path);
--- a/src/calls/GateLinks.cpp
+++ b/src/calls/GateLinks.cpp
@@ -89,7 +89,7 @@
   Failed.retry_after_ms = static_cast<uint32_t>(One.Why.RetryAfter.count());
   Failed.status = One.Why.Status;
   Failed.room_in_ms = static_cast<uint32_t>(
-      toMillis(this->Slots.coldStart().wait(Now)).count());
+      toMillis(this->Slots.coldStart().timeUntilCapacity(Now)).count());
   Failed.load = std::make_unique<wire::Load>(this->load(Now));
   this->Hook.Send(One.Link, callFrame(std::move(Failed)));
 }
--- a/src/calls/GateUpstream.cpp
+++ b/src/calls/GateUpstream.cpp
@@ -19,14 +19,14 @@
 } // namespace
 
 void Gate::upstreamSent(const CallId &Id, TimePoint Now) {
-  this->Slots.coldStart().sent(Now);
+  this->Slots.coldStart().recordSent(Now);
   if (Call *One = this->find(Id))
     this->settleSend(*One);
 }
 
 void Gate::settleSend(Call &One) {
   if (std::exchange(One.Unsent, false))
-    this->Slots.coldStart().settled();
+    this->Slots.coldStart().releaseReservation();
 }
 
 void Gate::upstreamConsumed(const CallId &Id, uint64_t Total, TimePoint) {
@@ -65,7 +65,7 @@
   // shed is a fault of the upstream and not a want of room. Fewer calls would
   // be shed as often, and most slots would stand idle.
   if (Head.Status == ShedStatus && !this->ListedSlots)
-    this->Slots.shed(Now);
+    this->Slots.upstreamShed(Now);
   bool Promises = Head.Status == ShedStatus || Head.Status == TooManyStatus ||
                   Head.Status == TimeoutStatus ||
                   Head.Status == MisdirectedStatus;
@@ -86,7 +86,7 @@
     return true;
   }
   this->Slots.finished(Id, /*Answered=*/false, Now);
-  this->Watch.forget(Id);
+  this->Watch.removeRun(Id);
   One.Now = State::Finished;
   this->breakOff(Id, One,
                  makeRefusal(Outcome::Unknown, "upstream-unmarked-refusal",
@@ -101,8 +101,8 @@
   if (!One || One->Now != State::Running)
     return;
   if (!One->Key.empty() && One->Recordable) {
-    One->Recordable =
-        One->Recorded.size() + Bytes.size() <= this->Opts.Keys.MaxAnswerBytes;
+    One->Recordable = One->Recorded.size() + Bytes.size() <=
+                      this->Opts.Keys.MaxStoredAnswerBytes;
     One->Recorded.append(Bytes);
   }
   One->Response.append(Bytes);
@@ -125,8 +125,8 @@
   if (!One || One->Now != State::Running)
     return;
   One->Now = State::Finished;
-  this->Transfers.forget(Id);
-  this->Watch.answered(Id, Now);
+  this->Transfers.cancel(Id);
+  this->Watch.runAnswered(Id, Now);
   this->Hook.RanWell(One->Print, Now);
   ++this->Counts.Answered;
   this->Hook.Took(One->StartedAt - One->CameAt, Now - One->StartedAt);
@@ -134,7 +134,7 @@
   if (!One->Key.empty()) {
     std::string Body = std::exchange(One->Recorded, "");
     // Too long to replay: judged by its size there.
-    this->Judge.answered(One->Key, One->Answer, std::move(Body), Now);
+    this->Judge.recordAnswer(One->Key, One->Answer, std::move(Body), Now);
   }
   this->Slots.finished(Id, One->Answer.Status != ShedStatus, Now);
   this->sendAnswer(Id, *One);
@@ -142,17 +142,17 @@
 }
 
 void Gate::doubtWarm(TimePoint Now) {
-  this->Slots.coldStart().doubt(Now);
+  this->Slots.coldStart().suspectRestart(Now);
   this->askWhetherCold(Now);
 }
 
 void Gate::askWhetherCold(TimePoint Now) {
-  if (this->Of && !this->Gone && this->Slots.coldStart().asksNow(Now))
+  if (this->Of && !this->Gone && this->Slots.coldStart().shouldQuery(Now))
     this->Hook.AskHealth(this->Of->HealthPath);
 }
 
 void Gate::upstreamTold(std::optional<Millis> ColdLeft, TimePoint Now) {
-  this->Slots.coldStart().told(ColdLeft, Now);
+  this->Slots.coldStart().upstreamReported(ColdLeft, Now);
   this->pump(Now);
 }
 
@@ -164,7 +164,7 @@
   std::string Reason = "upstream-" + Why.Code.message();
   if (!Sent) {
     if (!One->Key.empty())
-      this->Judge.notRun(One->Key);
+      this->Judge.recordNotRun(One->Key);
     this->refuse(Id, *One,
                  makeRefusal(Outcome::NotRun, Reason, Why.Step, Why.Peer), Now);
     // Its end may have been seen by nobody: nothing ran there.
@@ -173,7 +173,7 @@
   } else if (Why.Code == Errc::Closed && this->Hook.Probe) {
     return this->connectionEnded(Id, *One, Why, Now);
   } else {
-    this->Watch.forget(Id);
+    this->Watch.removeRun(Id);
     this->Slots.finished(Id, /*Answered=*/false, Now);
     One->Now = State::Finished;
     this->breakOff(Id, *One,
--- a/src/control/ControlLinks.cpp
+++ b/src/control/ControlLinks.cpp
@@ -212,7 +212,7 @@
       this->stopAvoiding(From.Target);
   }
   this->Spread.linkUp(Link, From.Name, From.Kind == Tie::Tree, Now);
-  if (std::optional<wire::SpreadFrameT> Known = this->Hold.all(Now))
+  if (std::optional<wire::SpreadFrameT> Known = this->Hold.snapshot(Now))
     this->Hook.Send(Link, encodeFrame(*Known));
 }
 
--- a/src/control/ControlPlane.cpp
+++ b/src/control/ControlPlane.cpp
@@ -110,28 +110,30 @@
 // trees and ring alike: the next attempt may come in anywhere.
 Quarantine::Hooks ControlPlane::quarantineHooks() {
   Quarantine::Hooks Out;
-  Out.Tell = [this](const wire::SpreadFrameT &Frame,
-                    std::optional<LinkId> ButLink) {
+  Out.SendRecords = [this](const wire::SpreadFrameT &Frame,
+                           std::optional<LinkId> ButLink) {
     std::string Bytes = encodeFrame(Frame);
     for (const auto &[Link, To] : this->Peers)
       if (To.Greeted && Link != ButLink)
         this->Hook.Send(Link, Bytes);
   };
-  Out.Changed = [this](const Quarantine::Event &Of, TimePoint Now) {
-    std::string Outcome = Of.Of->Request;
-    if (Of.For.count() > 0)
-      Outcome += " crashes=" + std::to_string(Of.Of->counting().size()) +
-                 " for_ms=" + std::to_string(Of.For.count());
-    this->Trail.add(Now, Of.What, Of.Of->Of.text(), Of.Source, Outcome);
+  Out.StatusChanged = [this](const Quarantine::Event &Of, TimePoint Now) {
+    std::string Outcome = Of.AffectedRecord->Description;
+    if (Of.Term.count() > 0)
+      Outcome += " crashes=" +
+                 std::to_string(Of.AffectedRecord->activeCrashes().size()) +
+                 " for_ms=" + std::to_string(Of.Term.count());
+    this->Trail.add(Now, Of.Name, Of.AffectedRecord->RequestFingerprint.text(),
+                    Of.Source, Outcome);
   };
   return Out;
 }
 
-void ControlPlane::upstreamCrashed(const std::vector<Quarantine::Ran> &Running,
-                                   TimePoint Now) {
+void ControlPlane::upstreamCrashed(
+    const std::vector<Quarantine::RunningRequest> &Running, TimePoint Now) {
   std::string Prints;
   for (size_t I = 0; I < std::min(Running.size(), MaxNamed); ++I)
-    Prints += " " + Running[I].Of.text();
+    Prints += " " + Running[I].RequestFingerprint.text();
   this->Trail.add(Now, "upstream-crashed", this->Opts.Self, "gate",
                   "suspects=" + std::to_string(Running.size()) + Prints);
   this->Hold.upstreamCrashed(Running, Now);
--- a/src/control/ControlPlane.h
+++ b/src/control/ControlPlane.h
@@ -148,7 +148,7 @@
   const AuditTrail &audit() const { return this->Trail; }
   AuditTrail &audit() { return this->Trail; }
   /// This node's own upstream crashed while these requests ran.
-  void upstreamCrashed(const std::vector<Quarantine::Ran> &Running,
+  void upstreamCrashed(const std::vector<Quarantine::RunningRequest> &Running,
                        TimePoint Now);
   /// Requests that crash upstreams, as all nodes know them.
   Quarantine &quarantine() { return this->Hold; }
--- a/src/gate/Admission.cpp
+++ b/src/gate/Admission.cpp
@@ -38,294 +38,305 @@
 
 void Admission::configure(const Service &New, TimePoint Now) {
   if (!this->Configured) {
-    this->ReadySince = Now;
-    this->Window = New.Slots;
-  } else if (New.Slots != this->Of.Slots) {
-    this->Window = New.Slots;
+    this->WarmupStart = Now;
+    this->SlotWindow = New.Slots;
+  } else if (New.Slots != this->ServiceConfig.Slots) {
+    this->SlotWindow = New.Slots;
   }
   this->Configured = true;
-  this->Of = New;
+  this->ServiceConfig = New;
   bool Spares = this->Opts.Guards.SpareCold;
-  this->Cold.configure(Spares ? New.ColdPerSecond : 0, New.Warmup, Now);
+  this->ColdLimiter.configure(Spares ? New.ColdPerSecond : 0, New.Warmup, Now);
 }
 
 size_t Admission::openSlots(TimePoint Now) const {
-  double Open = std::min<double>(this->Window, this->Of.Slots);
-  Clock::duration Warm = Now - this->ReadySince;
+  double Open = std::min<double>(this->SlotWindow, this->ServiceConfig.Slots);
+  Clock::duration Warm = Now - this->WarmupStart;
   // Where the service states what a cold upstream bears, that is the bound.
-  if (Warm < this->Of.Warmup && this->Of.ColdPerSecond == 0)
-    Open = std::min(Open, this->Of.Slots * std::chrono::duration<double>(Warm) /
-                              std::chrono::duration<double>(this->Of.Warmup));
+  if (Warm < this->ServiceConfig.Warmup &&
+      this->ServiceConfig.ColdPerSecond == 0)
+    Open = std::min(
+        Open, this->ServiceConfig.Slots * std::chrono::duration<double>(Warm) /
+                  std::chrono::duration<double>(this->ServiceConfig.Warmup));
   return std::max<size_t>(1, static_cast<size_t>(Open));
 }
 
-Admission::Answer Admission::refuse(const std::string &Reason,
+Admission::Result Admission::refuse(const std::string &Reason,
                                     Millis RetryAfter, unsigned Status) {
   Refusal Why;
   Why.Reason = Reason;
   Why.Step = "admission";
   Why.RetryAfter = RetryAfter;
   Why.Status = Status;
-  return {Verdict::Refuse, Why};
+  return {Decision::Refuse, Why};
 }
 
 // Spread over as much again, so that those refused together do not all return
 // together.
-Millis Admission::comeBack(Clock::duration Wait) {
-  Millis Base = std::clamp(toMillis(Wait), this->Opts.ShortestRetry,
-                           this->Opts.LongestRetry);
-  return Base + Millis(this->Random() % (Base.count() + 1));
+Millis Admission::retryAfter(Clock::duration Wait) {
+  Millis Base = std::clamp(toMillis(Wait), this->Opts.MinRetryAfter,
+                           this->Opts.MaxRetryAfter);
+  return Base + Millis(this->Rng() % (Base.count() + 1));
 }
 
 Clock::duration Admission::expectedWait(size_t Ahead, TimePoint Now) {
-  Clock::duration Mean = this->MeanRun.value_or(this->Opts.FirstLatency);
+  Clock::duration Mean = this->MeanRunTime.value_or(this->Opts.InitialLatency);
   Clock::duration ForSlot = Mean * static_cast<int64_t>(Ahead + 1) /
                             static_cast<int64_t>(this->openSlots(Now));
-  if (!this->Cold.isCold(Now))
+  if (!this->ColdLimiter.isCold(Now))
     return ForSlot;
   auto Between = std::chrono::duration_cast<Clock::duration>(
-      std::chrono::duration<double>(1 / this->Cold.rate()));
-  Clock::duration ForRoom =
-      this->Cold.wait(Now) + Between * static_cast<int64_t>(Ahead);
+      std::chrono::duration<double>(1 / this->ColdLimiter.allowedRate()));
+  Clock::duration ForRoom = this->ColdLimiter.timeUntilCapacity(Now) +
+                            Between * static_cast<int64_t>(Ahead);
   return std::max(ForSlot, ForRoom);
 }
 
-Clock::duration Admission::expectedRun(const std::string &Kind) const {
-  auto Found = this->RunByKind.find(Kind);
-  if (Found != this->RunByKind.end())
+Clock::duration Admission::expectedRunTime(const std::string &Kind) const {
+  auto Found = this->RunTimeByKind.find(Kind);
+  if (Found != this->RunTimeByKind.end())
     return Found->second;
-  return this->MeanRun.value_or(Clock::duration::zero());
+  return this->MeanRunTime.value_or(Clock::duration::zero());
 }
 
-bool Admission::inTime(const Ask &One, TimePoint Now) const {
+bool Admission::canMeetDeadline(const Request &One, TimePoint Now) const {
   auto Needed = std::chrono::duration_cast<Clock::duration>(
-      this->expectedRun(One.Kind) * this->Opts.NeededShare);
+      this->expectedRunTime(One.Kind) * this->Opts.MinRunTimeShare);
   return Now < One.Deadline && One.Deadline - Now >= Needed;
 }
 
 // A call that starts later is expected to miss its target.
-TimePoint Admission::latestStart(const Ask &One) const {
+TimePoint Admission::latestStart(const Request &One) const {
   TimePoint Goal = std::min(One.Target, One.Deadline);
   auto Run = std::chrono::duration_cast<Clock::duration>(
-      this->expectedRun(One.Kind) * this->Opts.TargetMargin);
+      this->expectedRunTime(One.Kind) * this->Opts.TargetMargin);
   return Goal - Run;
 }
 
-Admission::QueueKey Admission::placeOf(const Ask &One) const {
+Admission::QueueKey Admission::queueKey(const Request &One) const {
   TimePoint By =
       this->latestStart(One) + this->Opts.RankSpread * One.Rank / UINT8_MAX;
   return {One.Priority, By, One.Id};
 }
 
-bool Admission::onTarget(const Ask &One, Clock::duration Wait,
-                         TimePoint Now) const {
+bool Admission::canMeetTarget(const Request &One, Clock::duration Wait,
+                              TimePoint Now) const {
   return Now + Wait <= this->latestStart(One);
 }
 
-std::string Admission::limitKey(const Ask &One) const {
-  if (!One.Bound)
+std::string Admission::limitKey(const Request &One) const {
+  if (!One.RouteLimit)
     return "";
-  bool OwnClass = One.Bound->ByClass.count(One.Class) != 0;
-  return One.Bound->Name + "/" + (OwnClass ? One.Class : "");
+  bool OwnClass = One.RouteLimit->ByClass.count(One.CallerClass) != 0;
+  return One.RouteLimit->Name + "/" + (OwnClass ? One.CallerClass : "");
 }
 
-std::optional<Admission::Answer>
-Admission::checkLimit(const Ask &One, const std::string &Key, TimePoint Now) {
+std::optional<Admission::Result> Admission::checkLimit(const Request &One,
+                                                       const std::string &Key,
+                                                       TimePoint Now) {
   if (Key.empty())
     return std::nullopt;
-  auto Class = One.Bound->ByClass.find(One.Class);
-  const CallerLimit &Bound =
-      Class == One.Bound->ByClass.end() ? One.Bound->All : Class->second;
+  auto Class = One.RouteLimit->ByClass.find(One.CallerClass);
+  const CallerLimit &Bound = Class == One.RouteLimit->ByClass.end()
+                                 ? One.RouteLimit->All
+                                 : Class->second;
   auto [Found, New] = this->Limits.try_emplace(
       Key, LimitState{TokenBucket(Bound.RatePerSecond, Bound.Burst), Bound});
   LimitState &State = Found->second;
   // A new version may have other figures under the same name.
-  if (!New && State.Bound != Bound)
-    State.Rate = TokenBucket(Bound.RatePerSecond, Bound.Burst);
-  State.Bound = Bound;
+  if (!New && State.Configured != Bound)
+    State.RateBucket = TokenBucket(Bound.RatePerSecond, Bound.Burst);
+  State.Configured = Bound;
   if (Bound.Concurrency && State.Running >= Bound.Concurrency)
     return this->refuse("concurrency-limit",
-                        this->comeBack(this->expectedWait(0, Now)),
+                        this->retryAfter(this->expectedWait(0, Now)),
                         TooManyRequests);
-  if (Bound.RatePerSecond > 0 && !State.Rate.take(Now))
-    return this->refuse("rate-limit", State.Rate.wait(), TooManyRequests);
+  if (Bound.RatePerSecond > 0 && !State.RateBucket.take(Now))
+    return this->refuse("rate-limit", State.RateBucket.wait(), TooManyRequests);
   ++State.Running;
   return std::nullopt;
 }
 
-void Admission::release(const std::string &LimitKey) {
+void Admission::releaseLimit(const std::string &LimitKey) {
   auto Found = this->Limits.find(LimitKey);
   if (Found != this->Limits.end() && Found->second.Running > 0)
     --Found->second.Running;
 }
 
-bool Admission::hasPlace(const Ask &One, TimePoint Now) {
+bool Admission::canQueue(const Request &One, TimePoint Now) {
   auto Ahead = static_cast<size_t>(std::distance(
-      this->Queue.begin(), this->Queue.lower_bound(this->placeOf(One))));
-  if (Ahead >= this->Of.QueueLimit)
+      this->Queue.begin(), this->Queue.lower_bound(this->queueKey(One))));
+  if (Ahead >= this->ServiceConfig.QueueLimit)
     return false;
   if (!this->Opts.Guards.DropLate)
     return true;
   Clock::duration Wait = this->expectedWait(Ahead, Now);
-  return Wait <= this->Of.QueueWait && this->onTarget(One, Wait, Now);
+  return Wait <= this->ServiceConfig.QueueWait &&
+         this->canMeetTarget(One, Wait, Now);
 }
 
-void Admission::wait(const Ask &One, TimePoint Since,
-                     const std::string &LimitKey) {
-  QueueKey Key = this->placeOf(One);
+void Admission::enqueue(const Request &One, TimePoint Since,
+                        const std::string &LimitKey) {
+  QueueKey Key = this->queueKey(One);
   this->Queue[Key] = {One, Since, LimitKey};
-  this->Places[One.Id] = Key;
+  this->QueueKeys[One.Id] = Key;
 }
 
-bool Admission::isFree(TimePoint Now) {
-  return this->Running.size() < this->openSlots(Now) && this->Queue.empty() &&
-         this->Cold.room(Now) > 0;
+bool Admission::canRunNow(TimePoint Now) {
+  return this->RunningCalls.size() < this->openSlots(Now) &&
+         this->Queue.empty() && this->ColdLimiter.capacity(Now) > 0;
 }
 
-std::optional<Admission::Answer> Admission::wouldRefuse(const Ask &One,
+std::optional<Admission::Result> Admission::wouldRefuse(const Request &One,
                                                         TimePoint Now) {
   if (!this->Configured)
-    return this->refuse("no-configuration", this->Opts.LongestRetry / 5);
+    return this->refuse("no-configuration", this->Opts.MaxRetryAfter / 5);
   if (this->draining())
     return this->refuse("draining", Millis(0));
   if (Now >= One.Deadline)
     return this->refuse("deadline", Millis(0));
-  if (!this->isFree(Now) && !this->hasPlace(One, Now))
-    return this->refuse("overload", this->comeBack(this->expectedWait(
+  if (!this->canRunNow(Now) && !this->canQueue(One, Now))
+    return this->refuse("overload", this->retryAfter(this->expectedWait(
                                         this->Queue.size(), Now)));
   return std::nullopt;
 }
 
-Admission::Answer Admission::ask(const Ask &One, TimePoint Now) {
-  if (std::optional<Answer> Why = this->wouldRefuse(One, Now))
+Admission::Result Admission::admit(const Request &One, TimePoint Now) {
+  if (std::optional<Result> Why = this->wouldRefuse(One, Now))
     return *Why;
-  bool Free = this->isFree(Now);
+  bool Free = this->canRunNow(Now);
   std::string Limit = this->limitKey(One);
-  if (std::optional<Answer> Over = this->checkLimit(One, Limit, Now))
+  if (std::optional<Result> Over = this->checkLimit(One, Limit, Now))
     return *Over;
   if (Free) {
-    this->Running[One.Id] = {Now, Limit, One.Kind};
+    this->RunningCalls[One.Id] = {Now, Limit, One.Kind};
     return {};
   }
   // The limit belongs to a version that may be gone by the time of its turn.
-  Ask Kept = One;
-  Kept.Bound = nullptr;
-  this->wait(Kept, Now, Limit);
-  return {Verdict::Wait, {}};
+  Request Kept = One;
+  Kept.RouteLimit = nullptr;
+  this->enqueue(Kept, Now, Limit);
+  return {Decision::Wait, {}};
 }
 
 // A body may have come for long since its call had a slot, so room is looked
 // for once more.
-std::optional<Admission::Answer> Admission::start(TimePoint Now) {
-  if (this->Cold.room(Now) == 0)
-    return this->refuse("overload", this->comeBack(this->Cold.wait(Now)));
-  this->Cold.begun();
+std::optional<Admission::Result> Admission::reserveCapacity(TimePoint Now) {
+  if (this->ColdLimiter.capacity(Now) == 0)
+    return this->refuse(
+        "overload", this->retryAfter(this->ColdLimiter.timeUntilCapacity(Now)));
+  this->ColdLimiter.reserve();
   return std::nullopt;
 }
 
-void Admission::learnRun(const RunningCall &Of, TimePoint Now) {
+void Admission::recordRunTime(const RunningCall &Of, TimePoint Now) {
   using Nanos = std::chrono::duration<double, std::nano>;
-  Clock::duration Took = Now - Of.Since;
-  double Age = std::chrono::duration<double>(Now - this->RunLearntAt) /
+  Clock::duration Took = Now - Of.StartedAt;
+  double Age = std::chrono::duration<double>(Now - this->MeanRunUpdatedAt) /
                std::chrono::duration<double>(this->Opts.LatencyHalfLife);
   double Weight = std::max(this->Opts.LatencyWeight, 1 - std::exp2(-Age));
-  this->RunLearntAt = Now;
+  this->MeanRunUpdatedAt = Now;
   auto Blend = [&](Clock::duration Old) {
     return std::chrono::duration_cast<Clock::duration>(
         Nanos(Old) * (1 - Weight) + Nanos(Took) * Weight);
   };
-  this->MeanRun = Blend(this->MeanRun.value_or(Took));
-  auto Known = this->RunByKind.find(Of.Kind);
-  if (Known != this->RunByKind.end())
+  this->MeanRunTime = Blend(this->MeanRunTime.value_or(Took));
+  auto Known = this->RunTimeByKind.find(Of.Kind);
+  if (Known != this->RunTimeByKind.end())
     Known->second = Blend(Known->second);
-  else if (this->RunByKind.size() < this->Opts.MaxKinds)
-    this->RunByKind[Of.Kind] = Took;
+  else if (this->RunTimeByKind.size() < this->Opts.MaxKinds)
+    this->RunTimeByKind[Of.Kind] = Took;
 }
 
 void Admission::finished(const CallId &Id, bool Answered, TimePoint Now) {
-  if (auto Found = this->Places.find(Id); Found != this->Places.end()) {
+  if (auto Found = this->QueueKeys.find(Id); Found != this->QueueKeys.end()) {
     auto At = this->Queue.find(Found->second);
-    this->release(At->second.LimitKey);
+    this->releaseLimit(At->second.LimitKey);
     this->Queue.erase(At);
-    this->Places.erase(Found);
+    this->QueueKeys.erase(Found);
     return;
   }
-  auto Found = this->Running.find(Id);
-  if (Found == this->Running.end())
+  auto Found = this->RunningCalls.find(Id);
+  if (Found == this->RunningCalls.end())
     return;
-  this->release(Found->second.LimitKey);
+  this->releaseLimit(Found->second.LimitKey);
   if (Answered) {
-    this->learnRun(Found->second, Now);
-    this->Window = std::min<double>(this->Of.Slots,
-                                    this->Window + this->Opts.RegainPerAnswer);
+    this->recordRunTime(Found->second, Now);
+    this->SlotWindow =
+        std::min<double>(this->ServiceConfig.Slots,
+                         this->SlotWindow + this->Opts.IncreasePerAnswer);
   }
-  this->Running.erase(Found);
+  this->RunningCalls.erase(Found);
 }
 
-void Admission::shed(TimePoint Now) {
-  double Used = std::min<double>(this->openSlots(Now),
-                                 static_cast<double>(this->Running.size()));
-  this->Window = std::max(1.0, Used * this->Opts.ShedFactor);
+void Admission::upstreamShed(TimePoint Now) {
+  double Used = std::min<double>(
+      this->openSlots(Now), static_cast<double>(this->RunningCalls.size()));
+  this->SlotWindow = std::max(1.0, Used * this->Opts.ShedFactor);
 }
 
-void Admission::restarted(TimePoint Now) {
-  this->ReadySince = Now;
-  this->Window = this->Of.Slots;
-  this->MeanRun.reset();
-  this->RunByKind.clear();
+void Admission::upstreamRestarted(TimePoint Now) {
+  this->WarmupStart = Now;
+  this->SlotWindow = this->ServiceConfig.Slots;
+  this->MeanRunTime.reset();
+  this->RunTimeByKind.clear();
 }
 
-std::string Admission::drainedBy() const {
+std::string Admission::drainReasons() const {
   std::string Out;
-  for (const std::string &One : this->Closed)
+  for (const std::string &One : this->DrainReasons)
     Out += (Out.empty() ? "" : ",") + One;
   return Out;
 }
 
-Admission::QueueMap::iterator Admission::drop(QueueMap::iterator At,
-                                              const std::string &Reason,
-                                              Millis RetryAfter, Next &Out) {
-  Out.Drop.push_back({At->second.One.Id, this->refuse(Reason, RetryAfter).Why});
-  this->release(At->second.LimitKey);
-  this->Places.erase(At->second.One.Id);
+Admission::QueueMap::iterator Admission::dropQueued(QueueMap::iterator At,
+                                                    const std::string &Reason,
+                                                    Millis RetryAfter,
+                                                    QueueUpdate &Out) {
+  Out.ToDrop.push_back(
+      {At->second.Call.Id, this->refuse(Reason, RetryAfter).RefusalDetails});
+  this->releaseLimit(At->second.LimitKey);
+  this->QueueKeys.erase(At->second.Call.Id);
   return this->Queue.erase(At);
 }
 
-void Admission::sweepQueue(Next &Out, TimePoint Now) {
-  Millis ComeBack = this->comeBack(this->expectedWait(this->Queue.size(), Now));
+void Admission::sweepQueue(QueueUpdate &Out, TimePoint Now) {
+  Millis ComeBack =
+      this->retryAfter(this->expectedWait(this->Queue.size(), Now));
   for (auto At = this->Queue.begin(); At != this->Queue.end();) {
-    const Ask &One = At->second.One;
+    const Request &One = At->second.Call;
     bool DropsLate = this->Opts.Guards.DropLate;
-    bool Long = Now - At->second.Since > this->Of.QueueWait;
+    bool Long = Now - At->second.QueuedAt > this->ServiceConfig.QueueWait;
     bool Missed = One.Target < One.Deadline &&
-                  !this->onTarget(One, Clock::duration::zero(), Now);
+                  !this->canMeetTarget(One, Clock::duration::zero(), Now);
     if (this->draining())
-      At = this->drop(At, "draining", Millis(0), Out);
-    else if (DropsLate && !this->inTime(One, Now))
-      At = this->drop(At, "deadline", Millis(0), Out);
+      At = this->dropQueued(At, "draining", Millis(0), Out);
+    else if (DropsLate && !this->canMeetDeadline(One, Now))
+      At = this->dropQueued(At, "deadline", Millis(0), Out);
     else if (DropsLate && (Long || Missed))
-      At = this->drop(At, "overload", ComeBack, Out);
+      At = this->dropQueued(At, "overload", ComeBack, Out);
     else
       ++At;
   }
 }
 
-Admission::Next Admission::next(TimePoint Now) {
-  Next Out;
+Admission::QueueUpdate Admission::advanceQueue(TimePoint Now) {
+  QueueUpdate Out;
   this->sweepQueue(Out, Now);
   // A more urgent call may have come in ahead of a full queue: the last go.
-  Millis ComeBack = this->comeBack(this->expectedWait(this->Queue.size(), Now));
-  while (this->Queue.size() > this->Of.QueueLimit)
-    this->drop(std::prev(this->Queue.end()), "overload", ComeBack, Out);
+  Millis ComeBack =
+      this->retryAfter(this->expectedWait(this->Queue.size(), Now));
+  while (this->Queue.size() > this->ServiceConfig.QueueLimit)
+    this->dropQueued(std::prev(this->Queue.end()), "overload", ComeBack, Out);
   // Those that are returned start after this, one by one.
-  size_t Room = this->Cold.room(Now);
-  while (!this->Queue.empty() && Room > Out.Run.size() &&
-         this->Running.size() < this->openSlots(Now)) {
+  size_t Room = this->ColdLimiter.capacity(Now);
+  while (!this->Queue.empty() && Room > Out.ToRun.size() &&
+         this->RunningCalls.size() < this->openSlots(Now)) {
     auto First = this->Queue.begin();
-    this->Running[First->second.One.Id] = {Now, First->second.LimitKey,
-                                           First->second.One.Kind};
-    Out.Run.push_back(First->second.One.Id);
-    this->Places.erase(First->second.One.Id);
+    this->RunningCalls[First->second.Call.Id] = {Now, First->second.LimitKey,
+                                                 First->second.Call.Kind};
+    Out.ToRun.push_back(First->second.Call.Id);
+    this->QueueKeys.erase(First->second.Call.Id);
     this->Queue.erase(First);
   }
   return Out;
@@ -333,18 +344,20 @@
 
 wire::Load Admission::load(TimePoint Now) {
   auto Mean = std::chrono::duration_cast<Micros>(
-      this->MeanRun.value_or(Clock::duration::zero()));
+      this->MeanRunTime.value_or(Clock::duration::zero()));
   double Slots = static_cast<double>(this->openSlots(Now));
-  double Waiting = static_cast<double>(this->waiting());
-  if (this->Cold.isCold(Now)) {
+  double Waiting = static_cast<double>(this->waitingCount());
+  if (this->ColdLimiter.isCold(Now)) {
     using Seconds = std::chrono::duration<double>;
-    Clock::duration Run = this->MeanRun.value_or(this->Opts.FirstLatency);
-    double Busy = std::ceil(this->Cold.rate() * Seconds(Run).count());
+    Clock::duration Run = this->MeanRunTime.value_or(this->Opts.InitialLatency);
+    double Busy =
+        std::ceil(this->ColdLimiter.allowedRate() * Seconds(Run).count());
     Slots = std::clamp(Busy, 1.0, Slots);
     Waiting +=
-        std::ceil(this->Cold.rate() * Seconds(this->Cold.wait(Now)).count());
+        std::ceil(this->ColdLimiter.allowedRate() *
+                  Seconds(this->ColdLimiter.timeUntilCapacity(Now)).count());
   }
-  return {static_cast<uint32_t>(this->Running.size()),
+  return {static_cast<uint32_t>(this->RunningCalls.size()),
           static_cast<uint32_t>(Waiting), static_cast<uint32_t>(Slots),
           static_cast<uint32_t>(Mean.count())};
 }
--- a/src/gate/ColdStartTest.cpp
+++ b/src/gate/ColdStartLimiterTest.cpp
@@ -1,4 +1,4 @@
-#include "gate/ColdStart.h"
+#include "gate/ColdStartLimiter.h"
 
 #include "gate/Admission.h"
 
@@ -21,23 +21,23 @@
 
 TimePoint at(int64_t Ms) { return Start + Millis(Ms); }
 
-ColdStart::Options options() {
-  ColdStart::Options Out;
-  Out.Overrun = 1.5;
-  Out.Slack = 5;
-  Out.Spare = 0;
+ColdStartLimiter::Options options() {
+  ColdStartLimiter::Options Out;
+  Out.RateFactor = 1.5;
+  Out.ExtraCalls = 5;
+  Out.ReservedCalls = 0;
   return Out;
 }
 // 10 a second, half as much again, and 5.
 constexpr size_t Bound = 20;
 
 /// Configured at Start, and warm by its own word.
-ColdStart warm() {
-  ColdStart Out(options());
+ColdStartLimiter warm() {
+  ColdStartLimiter Out(options());
   Out.configure(PerSecond, Warmup, Start);
-  Out.named("up-1", Start);
-  Out.asksNow(Start);
-  Out.told(Millis(0), Start);
+  Out.observeUpstream("up-1", Start);
+  Out.shouldQuery(Start);
+  Out.upstreamReported(Millis(0), Start);
   return Out;
 }
 
@@ -45,7 +45,7 @@
 /// later.
 struct SignRow {
   const char *What;
-  std::function<void(ColdStart &)> Happens;
+  std::function<void(ColdStartLimiter &)> Happens;
   bool ColdSoon;
   bool ColdLater;
 };
@@ -53,57 +53,62 @@
   return To << Of.What;
 }
 
-void ask(ColdStart &Of, int64_t AskedMs, std::optional<Millis> Told,
+void ask(ColdStartLimiter &Of, int64_t AskedMs, std::optional<Millis> Told,
          int64_t ToldMs) {
-  Of.asksNow(at(AskedMs));
-  Of.told(Told, at(ToldMs));
+  Of.shouldQuery(at(AskedMs));
+  Of.upstreamReported(Told, at(ToldMs));
 }
 
 const SignRow Signs[] = {
-    {"nothing", [](ColdStart &) {}, false, false},
-    {"a doubt", [](ColdStart &Of) { Of.doubt(at(0)); }, true, false},
+    {"nothing", [](ColdStartLimiter &) {}, false, false},
+    {"a doubt", [](ColdStartLimiter &Of) { Of.suspectRestart(at(0)); }, true,
+     false},
     {"a doubt that it answers: warm",
-     [](ColdStart &Of) {
-       Of.doubt(at(0));
+     [](ColdStartLimiter &Of) {
+       Of.suspectRestart(at(0));
        ask(Of, 500, Millis(0), 501);
      },
      false, false},
     {"a doubt that it answers: cold for longer than a warm-up",
-     [](ColdStart &Of) {
-       Of.doubt(at(0));
+     [](ColdStartLimiter &Of) {
+       Of.suspectRestart(at(0));
        ask(Of, 500, Millis(4000), 501);
      },
      true, true},
     {"a doubt that it answers without a word of it",
-     [](ColdStart &Of) {
-       Of.doubt(at(0));
+     [](ColdStartLimiter &Of) {
+       Of.suspectRestart(at(0));
        ask(Of, 500, std::nullopt, 501);
      },
      true, false},
     {"an answer to a question from before the doubt",
-     [](ColdStart &Of) {
-       Of.doubt(at(0));
-       Of.asksNow(at(500));
-       Of.doubt(at(510));
-       Of.told(Millis(0), at(520));
+     [](ColdStartLimiter &Of) {
+       Of.suspectRestart(at(0));
+       Of.shouldQuery(at(500));
+       Of.suspectRestart(at(510));
+       Of.upstreamReported(Millis(0), at(520));
      },
      true, true},
     {"a call that names another upstream",
-     [](ColdStart &Of) { Of.named("up-2", at(0)); }, true, false},
+     [](ColdStartLimiter &Of) { Of.observeUpstream("up-2", at(0)); }, true,
+     false},
     {"a call that names the same",
-     [](ColdStart &Of) { Of.named("up-1", at(0)); }, false, false},
-    {"a call that names nobody", [](ColdStart &Of) { Of.named("", at(0)); },
-     false, false},
-    {"the list: cold", [](ColdStart &Of) { Of.listed(Millis(2000), at(0)); },
-     true, false},
+     [](ColdStartLimiter &Of) { Of.observeUpstream("up-1", at(0)); }, false,
+     false},
+    {"a call that names nobody",
+     [](ColdStartLimiter &Of) { Of.observeUpstream("", at(0)); }, false, false},
+    {"the list: cold",
+     [](ColdStartLimiter &Of) { Of.listReported(Millis(2000), at(0)); }, true,
+     false},
     {"the list: warm, in the midst of a doubt",
-     [](ColdStart &Of) {
-       Of.doubt(at(0));
-       Of.listed(Millis(0), at(10));
+     [](ColdStartLimiter &Of) {
+       Of.suspectRestart(at(0));
+       Of.listReported(Millis(0), at(10));
      },
      true, false},
     {"unasked, it says that it is cold",
-     [](ColdStart &Of) { Of.told(Millis(2000), at(0)); }, true, false},
+     [](ColdStartLimiter &Of) { Of.upstreamReported(Millis(2000), at(0)); },
+     true, false},
 };
 
 } // namespace
@@ -112,7 +117,7 @@
 
 // Guards against an upstream that started unseen, and is taken for warm.
 BOOST_DATA_TEST_CASE(SignsOfANewStart, data::make(Signs), Row) {
-  ColdStart Of = warm();
+  ColdStartLimiter Of = warm();
   Row.Happens(Of);
   BOOST_TEST(Of.isCold(at(600)) == Row.ColdSoon);
   BOOST_TEST(Of.isCold(at(3100)) == Row.ColdLater);
@@ -121,67 +126,67 @@
 // Guards against a node that starts beside a cold upstream and takes it for
 // warm.
 BOOST_AUTO_TEST_CASE(NothingIsKnownAtFirst) {
-  ColdStart Of(options());
+  ColdStartLimiter Of(options());
   Of.configure(PerSecond, Warmup, Start);
   BOOST_TEST(Of.isCold(Start));
-  BOOST_TEST(Of.asksNow(Start));
-  BOOST_TEST(!Of.asksNow(at(400)));
-  BOOST_TEST(Of.asksNow(at(500)));
-  Of.told(Millis(0), at(501));
+  BOOST_TEST(Of.shouldQuery(Start));
+  BOOST_TEST(!Of.shouldQuery(at(400)));
+  BOOST_TEST(Of.shouldQuery(at(500)));
+  Of.upstreamReported(Millis(0), at(501));
   BOOST_TEST(!Of.isCold(at(501)));
-  BOOST_TEST(!Of.asksNow(at(2000)));
+  BOOST_TEST(!Of.shouldQuery(at(2000)));
 }
 
 // Guards against a process that is killed and started again at once, and sends
 // its cold upstream as much as the one before has just sent.
 BOOST_AUTO_TEST_CASE(WhatAnEarlierProcessSentIsNotKnown) {
-  ColdStart Of(options());
-  Of.watch(Start);
+  ColdStartLimiter Of(options());
+  Of.startCounting(Start);
   Of.configure(PerSecond, Warmup, at(300));
-  Of.watch(at(600));
-  BOOST_TEST(Of.room(at(999)) == 0u);
-  BOOST_TEST((Of.wait(at(300)) == Millis(700)));
-  BOOST_TEST(Of.room(at(1000)) == Bound);
+  Of.startCounting(at(600));
+  BOOST_TEST(Of.capacity(at(999)) == 0u);
+  BOOST_TEST((Of.timeUntilCapacity(at(300)) == Millis(700)));
+  BOOST_TEST(Of.capacity(at(1000)) == Bound);
 }
 
 // Guards against a second without service more, where all start together.
 BOOST_AUTO_TEST_CASE(AnUpstreamThatStartsWithItsNodeIsKnownWhole) {
   for (int64_t BeganMs : {-300, -50, 200}) {
-    ColdStart Of(options());
-    Of.watch(Start);
+    ColdStartLimiter Of(options());
+    Of.startCounting(Start);
     Of.configure(PerSecond, Warmup, at(400));
     ask(Of, 400, Warmup - Millis(400 - BeganMs), 400);
-    BOOST_TEST(Of.room(at(500)) == (BeganMs < -100 ? 0u : Bound));
+    BOOST_TEST(Of.capacity(at(500)) == (BeganMs < -100 ? 0u : Bound));
   }
 }
 
 BOOST_AUTO_TEST_CASE(ANewProcessBesideAWarmUpstreamGoesOn) {
-  ColdStart Of(options());
-  Of.watch(Start);
+  ColdStartLimiter Of(options());
+  Of.startCounting(Start);
   Of.configure(PerSecond, Warmup, at(300));
   ask(Of, 300, Millis(0), 301);
-  BOOST_TEST(Of.room(at(301)) == SIZE_MAX);
+  BOOST_TEST(Of.capacity(at(301)) == SIZE_MAX);
 }
 
 BOOST_AUTO_TEST_CASE(WithoutARateNothingIsLimited) {
-  ColdStart Of(options());
+  ColdStartLimiter Of(options());
   Of.configure(/*PerSecond=*/0, Warmup, Start);
-  Of.doubt(Start);
+  Of.suspectRestart(Start);
   BOOST_TEST(!Of.isCold(Start));
-  BOOST_TEST(!Of.asksNow(Start));
-  BOOST_TEST(Of.room(Start) == SIZE_MAX);
+  BOOST_TEST(!Of.shouldQuery(Start));
+  BOOST_TEST(Of.capacity(Start) == SIZE_MAX);
 }
 
 // Guards against two bursts that lie in two spans each, and together in one.
 BOOST_AUTO_TEST_CASE(NoSpanHoldsMoreThanTheBound) {
-  ColdStart Of(options());
+  ColdStartLimiter Of(options());
   Of.configure(PerSecond, Millis(10000), Start);
   std::vector<TimePoint> Started;
   for (int64_t Ms = 0; Ms < 9000; Ms += 7) {
     bool Bursts = Ms % 1700 < 300;
-    for (int Tries = Bursts ? 5 : 1; Tries > 0 && Of.room(at(Ms)) > 0;
+    for (int Tries = Bursts ? 5 : 1; Tries > 0 && Of.capacity(at(Ms)) > 0;
          --Tries) {
-      Of.sent(at(Ms));
+      Of.recordSent(at(Ms));
       Started.push_back(at(Ms));
     }
   }
@@ -193,65 +198,65 @@
 // Guards against calls from just before the cold time that are not counted: the
 // upstream was cold already, and nobody knew.
 BOOST_AUTO_TEST_CASE(WhatStartedWhileItWasTakenForWarmCounts) {
-  ColdStart Of = warm();
+  ColdStartLimiter Of = warm();
   for (int64_t Ms = 0; Ms < 30; ++Ms)
-    Of.sent(at(Ms));
-  Of.doubt(at(100));
-  BOOST_TEST(Of.room(at(100)) == 0u);
-  BOOST_TEST((Of.wait(at(100)) == Millis(910)));
-  BOOST_TEST(Of.isOverrun(at(100)));
-  BOOST_TEST(Of.room(at(1010)) == 1u);
-  BOOST_TEST(Of.room(at(1100)) == Bound);
-  BOOST_TEST(!Of.isOverrun(at(1100)));
+    Of.recordSent(at(Ms));
+  Of.suspectRestart(at(100));
+  BOOST_TEST(Of.capacity(at(100)) == 0u);
+  BOOST_TEST((Of.timeUntilCapacity(at(100)) == Millis(910)));
+  BOOST_TEST(Of.isOverLimit(at(100)));
+  BOOST_TEST(Of.capacity(at(1010)) == 1u);
+  BOOST_TEST(Of.capacity(at(1100)) == Bound);
+  BOOST_TEST(!Of.isOverLimit(at(1100)));
 }
 
 // Guards against requests that wait for their connections and all go out in a
 // span that is full without them.
 BOOST_AUTO_TEST_CASE(WhatHasNotGoneOutTakesUpRoom) {
-  ColdStart Of = warm();
-  Of.doubt(at(0));
+  ColdStartLimiter Of = warm();
+  Of.suspectRestart(at(0));
   for (size_t I = 0; I < Bound; ++I)
-    Of.begun();
-  BOOST_TEST(Of.room(at(1500)) == 0u);
-  BOOST_TEST((Of.wait(at(1500)) > Millis(0)));
-  Of.settled();
-  Of.sent(at(1600));
-  BOOST_TEST(Of.room(at(1700)) == 0u);
-  Of.settled();
-  BOOST_TEST(Of.room(at(1700)) == 1u);
+    Of.reserve();
+  BOOST_TEST(Of.capacity(at(1500)) == 0u);
+  BOOST_TEST((Of.timeUntilCapacity(at(1500)) > Millis(0)));
+  Of.releaseReservation();
+  Of.recordSent(at(1600));
+  BOOST_TEST(Of.capacity(at(1700)) == 0u);
+  Of.releaseReservation();
+  BOOST_TEST(Of.capacity(at(1700)) == 1u);
 }
 
 // Guards against a request that crashes cold upstreams and is never held: what
 // its gate let through is no overrun.
 BOOST_AUTO_TEST_CASE(WhatWasLetThroughIsNoOverrun) {
-  ColdStart Of = warm();
-  Of.doubt(at(0));
-  for (; Of.room(at(10)) > 0;)
-    Of.sent(at(10));
-  BOOST_TEST(!Of.isOverrun(at(20)));
-  Of.sent(at(20));
-  BOOST_TEST(Of.isOverrun(at(20)));
+  ColdStartLimiter Of = warm();
+  Of.suspectRestart(at(0));
+  for (; Of.capacity(at(10)) > 0;)
+    Of.recordSent(at(10));
+  BOOST_TEST(!Of.isOverLimit(at(20)));
+  Of.recordSent(at(20));
+  BOOST_TEST(Of.isOverLimit(at(20)));
 }
 
 BOOST_AUTO_TEST_CASE(TheWaitEndsWithTheColdTime) {
-  ColdStart Of = warm();
-  Of.doubt(at(0));
-  Of.asksNow(at(500));
-  Of.told(Millis(200), at(500));
+  ColdStartLimiter Of = warm();
+  Of.suspectRestart(at(0));
+  Of.shouldQuery(at(500));
+  Of.upstreamReported(Millis(200), at(500));
   for (size_t I = 0; I < Bound; ++I)
-    Of.sent(at(500));
-  BOOST_TEST((Of.wait(at(500)) == Millis(300)));
+    Of.recordSent(at(500));
+  BOOST_TEST((Of.timeUntilCapacity(at(500)) == Millis(300)));
   // What it says is cut to whole milliseconds, so a wave at its end comes
   // early.
-  BOOST_TEST(Of.room(at(701)) == 0u);
-  BOOST_TEST(Of.room(at(800)) == SIZE_MAX);
+  BOOST_TEST(Of.capacity(at(701)) == 0u);
+  BOOST_TEST(Of.capacity(at(800)) == SIZE_MAX);
 }
 
 // Guards against a gate that admits by its free slots what its cold upstream
 // does not bear.
 BOOST_AUTO_TEST_CASE(AdmissionHandsAColdUpstreamWhatItBears) {
   Admission::Options Opts;
-  Opts.Cold = options();
+  Opts.ColdStartOpts = options();
   Admission At(Opts, /*Seed=*/1);
   Service Of;
   Of.Slots = 100;
@@ -261,17 +266,17 @@
   At.configure(Of, Start);
   size_t Ran = 0, Waited = 0;
   for (uint64_t Seq = 1; Seq <= 40; ++Seq) {
-    Admission::Ask One;
+    Admission::Request One;
     One.Id = {1, Seq};
     One.Deadline = Start + Millis(5000);
-    Admission::Answer Said = At.ask(One, Start);
-    Waited += Said.What == Admission::Verdict::Wait;
-    if (Said.What != Admission::Verdict::Run)
+    Admission::Result Said = At.admit(One, Start);
+    Waited += Said.Action == Admission::Decision::Wait;
+    if (Said.Action != Admission::Decision::Run)
       continue;
     ++Ran;
-    BOOST_TEST(!At.start(Start));
-    At.coldStart().sent(Start);
-    At.coldStart().settled();
+    BOOST_TEST(!At.reserveCapacity(Start));
+    At.coldStart().recordSent(Start);
+    At.coldStart().releaseReservation();
   }
   BOOST_TEST(Ran == Bound);
   // More would wait for longer than calls may.
@@ -283,9 +288,9 @@
 // Guards against a body that comes for seconds, and whose call starts in a span
 // that is full by then.
 BOOST_AUTO_TEST_CASE(ACallThatStartsLateIsCountedThen) {
-  ColdStart::Options Cold = options();
+  ColdStartLimiter::Options Cold = options();
   Admission::Options Opts;
-  Opts.Cold = Cold;
+  Opts.ColdStartOpts = Cold;
   Admission At(Opts, /*Seed=*/1);
   Service Of;
   Of.Slots = 100;
@@ -293,15 +298,15 @@
   Of.ColdPerSecond = PerSecond;
   At.configure(Of, Start);
   for (size_t I = 0; I < Bound; ++I) {
-    BOOST_TEST(!At.start(at(500)));
-    At.coldStart().sent(at(500));
-    At.coldStart().settled();
+    BOOST_TEST(!At.reserveCapacity(at(500)));
+    At.coldStart().recordSent(at(500));
+    At.coldStart().releaseReservation();
   }
-  std::optional<Admission::Answer> No = At.start(at(600));
+  std::optional<Admission::Result> No = At.reserveCapacity(at(600));
   BOOST_REQUIRE(No);
-  BOOST_TEST((No->Why.What == Outcome::NotRun));
-  BOOST_TEST((No->Why.RetryAfter >= Millis(900)));
-  BOOST_TEST(!At.start(at(1500)));
+  BOOST_TEST((No->RefusalDetails.What == Outcome::NotRun));
+  BOOST_TEST((No->RefusalDetails.RetryAfter >= Millis(900)));
+  BOOST_TEST(!At.reserveCapacity(at(1500)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/gate/RunWatchTest.cpp
+++ b/src/gate/CrashDetectorTest.cpp
@@ -1,4 +1,4 @@
-#include "gate/RunWatch.h"
+#include "gate/CrashDetector.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -74,7 +74,7 @@
 // after a crash may what ran be suspected: who is suspected for a lost answer
 // could be refused for it, and who is not goes on to crash the next.
 BOOST_DATA_TEST_CASE(WhatRanWhenItCrashed, data::make(WatchRows), Row) {
-  RunWatch Watch{RunWatch::Options()};
+  CrashDetector Watch{CrashDetector::Options()};
   TimePoint Now = Start;
   std::string Suspects, Told;
   std::istringstream In(Row.Steps);
@@ -86,24 +86,24 @@
     CallId Id{1, Of};
     Now += Millis(1);
     if (What == "start")
-      Watch.started(Id, {Of}, /*Suspected=*/false);
+      Watch.runStarted(Id, {Of}, /*Suspected=*/false);
     else if (What == "answer")
-      Watch.answered(Id, Now);
+      Watch.runAnswered(Id, Now);
     else if (What == "forget")
-      Watch.forget(Id);
+      Watch.removeRun(Id);
     else if (What == "cancel")
-      Watch.cancelled(Id, Now);
+      Watch.runCancelled(Id, Now);
     else if (What == "broke")
-      Watch.broke(Id, Now);
+      Watch.connectionLost(Id, Now);
     else if (What == "wait")
       Now += Millis(Of);
     else if (What == "alive") {
       Suspects.clear();
-      Told = digits(Watch.settle());
+      Told = digits(Watch.upstreamAlive());
     } else {
-      RunWatch::Crash Crash = Watch.crashed(Now);
+      CrashDetector::Crash Crash = Watch.upstreamCrashed(Now);
       Suspects = digits(Crash.Suspects);
-      Told = digits(Crash.Broken);
+      Told = digits(Crash.BrokenRuns);
     }
   }
   BOOST_TEST(Suspects == Row.Suspects);
@@ -113,41 +113,44 @@
 // Nine connections end in one moment. One question about the upstream is
 // enough, and one that is never answered counts as "alive".
 BOOST_AUTO_TEST_CASE(OneProbeForAll) {
-  RunWatch Watch{RunWatch::Options()};
+  CrashDetector Watch{CrashDetector::Options()};
   for (uint64_t I = 1; I <= 9; ++I)
-    Watch.started({1, I}, {I}, false);
-  BOOST_TEST((Watch.broke({1, 1}, Start) == RunWatch::Next::Probe));
+    Watch.runStarted({1, I}, {I}, false);
+  BOOST_TEST(
+      (Watch.connectionLost({1, 1}, Start) == CrashDetector::Action::Probe));
   for (uint64_t I = 2; I <= 9; ++I)
-    BOOST_TEST((Watch.broke({1, I}, Start) == RunWatch::Next::Wait));
-  BOOST_TEST(!Watch.isProbeLate(Start + Millis(100)));
-  BOOST_TEST(Watch.isProbeLate(Start + Millis(101)));
-  BOOST_TEST(Watch.settle().size() == 9u);
-  BOOST_TEST(!Watch.isProbeLate(Start + Millis(500)));
+    BOOST_TEST(
+        (Watch.connectionLost({1, I}, Start) == CrashDetector::Action::Wait));
+  BOOST_TEST(!Watch.isProbeOverdue(Start + Millis(100)));
+  BOOST_TEST(Watch.isProbeOverdue(Start + Millis(101)));
+  BOOST_TEST(Watch.upstreamAlive().size() == 9u);
+  BOOST_TEST(!Watch.isProbeOverdue(Start + Millis(500)));
 }
 
 // What its connection still has to say after the crash is told at once.
 BOOST_AUTO_TEST_CASE(LateEndsBelongToTheCrash) {
-  RunWatch Watch{RunWatch::Options()};
-  Watch.started({1, 1}, {1}, true);
-  Watch.started({1, 2}, {2}, false);
-  Watch.broke({1, 2}, Start);
-  Watch.crashed(Start);
-  BOOST_TEST((Watch.broke({1, 1}, Start) == RunWatch::Next::Crashed));
+  CrashDetector Watch{CrashDetector::Options()};
+  Watch.runStarted({1, 1}, {1}, true);
+  Watch.runStarted({1, 2}, {2}, false);
+  Watch.connectionLost({1, 2}, Start);
+  Watch.upstreamCrashed(Start);
+  BOOST_TEST((Watch.connectionLost({1, 1}, Start) ==
+              CrashDetector::Action::AlreadyCrashed));
   BOOST_TEST(!Watch.hasOtherSuspect({9}));
 }
 
 // Answers remembered are bounded, however many there are.
 BOOST_AUTO_TEST_CASE(OldAnswersAreForgotten) {
-  RunWatch::Options Opts;
-  Opts.MaxGood = 10;
-  RunWatch Watch(Opts);
+  CrashDetector::Options Opts;
+  Opts.MaxRecentAnswers = 10;
+  CrashDetector Watch(Opts);
   for (uint64_t I = 1; I <= 100; ++I) {
-    Watch.started({1, I}, {I}, false);
-    Watch.answered({1, I}, Start);
+    Watch.runStarted({1, I}, {I}, false);
+    Watch.runAnswered({1, I}, Start);
   }
-  Watch.started({2, 1}, {1}, false);
-  Watch.started({2, 100}, {100}, false);
-  BOOST_TEST(Watch.crashed(Start).Suspects.size() == 1u);
+  Watch.runStarted({2, 1}, {1}, false);
+  Watch.runStarted({2, 100}, {100}, false);
+  BOOST_TEST(Watch.upstreamCrashed(Start).Suspects.size() == 1u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/gate/GateTest.cpp
+++ b/src/gate/GateTest.cpp
@@ -1,5 +1,5 @@
 #include "gate/Admission.h"
-#include "gate/KeyJudge.h"
+#include "gate/IdempotencyChecker.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -19,8 +19,8 @@
   return Out;
 }
 
-Admission::Ask askOf(uint64_t Seq, Millis Deadline, uint32_t Priority = 4) {
-  Admission::Ask Out;
+Admission::Request askOf(uint64_t Seq, Millis Deadline, uint32_t Priority = 4) {
+  Admission::Request Out;
   Out.Id = {1, Seq};
   Out.Deadline = Start + Deadline;
   Out.Priority = Priority;
@@ -41,7 +41,7 @@
   return Out;
 }
 
-using KeyVerdict = KeyJudge::Verdict;
+using KeyDecision = IdempotencyChecker::Decision;
 
 } // namespace
 
@@ -52,25 +52,26 @@
   Slots.configure(serviceOf(2, 3), Start);
   int Counts[3] = {0, 0, 0};
   for (uint64_t I = 0; I < 10; ++I)
-    ++Counts[static_cast<int>(Slots.ask(askOf(I, Millis(5000)), Start).What)];
+    ++Counts[static_cast<int>(
+        Slots.admit(askOf(I, Millis(5000)), Start).Action)];
   BOOST_TEST(Counts[0] == 2);
   BOOST_TEST(Counts[1] == 3);
   BOOST_TEST(Counts[2] == 5);
   Slots.finished({1, 0}, true, Start + Millis(10));
-  BOOST_TEST(Slots.next(Start + Millis(10)).Run.size() == 1u);
+  BOOST_TEST(Slots.advanceQueue(Start + Millis(10)).ToRun.size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(UrgentFirstThenNearestDeadline) {
   Admission Slots({}, 1);
   Slots.configure(serviceOf(1, 10), Start);
-  Slots.ask(askOf(1, Millis(9000)), Start);
-  Slots.ask(askOf(2, Millis(8000), 5), Start);
-  Slots.ask(askOf(3, Millis(7000), 5), Start);
-  Slots.ask(askOf(4, Millis(9000), 0), Start);
+  Slots.admit(askOf(1, Millis(9000)), Start);
+  Slots.admit(askOf(2, Millis(8000), 5), Start);
+  Slots.admit(askOf(3, Millis(7000), 5), Start);
+  Slots.admit(askOf(4, Millis(9000), 0), Start);
   std::vector<uint64_t> Order;
   for (uint64_t Done : {1, 4, 3}) {
     Slots.finished({1, Done}, true, Start + Millis(1));
-    Order.push_back(Slots.next(Start + Millis(1)).Run.at(0).Seq);
+    Order.push_back(Slots.advanceQueue(Start + Millis(1)).ToRun.at(0).Seq);
   }
   BOOST_TEST((Order == std::vector<uint64_t>{4, 3, 2}));
 }
@@ -98,9 +99,9 @@
     Ends.emplace(Now + Run, Id);
   };
   auto Pump = [&](TimePoint Now) {
-    Admission::Next Turn = Slots.next(Now);
-    Out.Refused += static_cast<int>(Turn.Drop.size());
-    for (const CallId &Id : Turn.Run)
+    Admission::QueueUpdate Turn = Slots.advanceQueue(Now);
+    Out.Refused += static_cast<int>(Turn.ToDrop.size());
+    for (const CallId &Id : Turn.ToRun)
       Begin(Id, Now);
   };
   for (TimePoint Now = Start; Now < Start + Length; Now += Millis(1)) {
@@ -113,15 +114,15 @@
     }
     if (toMillis(Now - Start).count() % Gap.count() != 0)
       continue;
-    Admission::Ask One =
+    Admission::Request One =
         askOf(static_cast<uint64_t>(toMillis(Now - Start).count()), Millis(0));
     One.Deadline = Now + Deadline;
     One.Target = AtDeadline ? TimePoint::max() : Now + Target;
     Came[One.Id] = Now;
-    Admission::Verdict What = Slots.ask(One, Now).What;
-    if (What == Admission::Verdict::Run)
+    Admission::Decision What = Slots.admit(One, Now).Action;
+    if (What == Admission::Decision::Run)
       Begin(One.Id, Now);
-    Out.Refused += What == Admission::Verdict::Refuse;
+    Out.Refused += What == Admission::Decision::Refuse;
   }
   return Out;
 }
@@ -149,26 +150,26 @@
 BOOST_AUTO_TEST_CASE(LateCallsAreDropped) {
   Admission Slots({}, 1);
   Slots.configure(serviceOf(1, 10), Start);
-  Slots.ask(askOf(1, Millis(9000)), Start);
-  Slots.ask(askOf(2, Millis(300)), Start);
+  Slots.admit(askOf(1, Millis(9000)), Start);
+  Slots.admit(askOf(2, Millis(300)), Start);
   Slots.finished({1, 1}, true, Start + Millis(250)); // a call takes 250 ms
-  Admission::Next Turn = Slots.next(Start + Millis(250));
-  BOOST_TEST(Turn.Run.empty());
-  BOOST_REQUIRE(Turn.Drop.size() == 1u);
-  BOOST_TEST((Turn.Drop[0].Why.What == Outcome::NotRun));
+  Admission::QueueUpdate Turn = Slots.advanceQueue(Start + Millis(250));
+  BOOST_TEST(Turn.ToRun.empty());
+  BOOST_REQUIRE(Turn.ToDrop.size() == 1u);
+  BOOST_TEST((Turn.ToDrop[0].RefusalDetails.What == Outcome::NotRun));
 }
 
 BOOST_AUTO_TEST_CASE(DrainRefusesNewAndWaiting) {
   Admission Slots({}, 1);
   Slots.configure(serviceOf(1, 10), Start);
-  Slots.ask(askOf(1, Millis(9000)), Start);
-  Slots.ask(askOf(2, Millis(9000)), Start);
+  Slots.admit(askOf(1, Millis(9000)), Start);
+  Slots.admit(askOf(2, Millis(9000)), Start);
   Slots.drain("operator");
-  BOOST_TEST(Slots.next(Start).Drop.size() == 1u);
-  Admission::Answer Late = Slots.ask(askOf(3, Millis(9000)), Start);
-  BOOST_TEST((Late.What == Admission::Verdict::Refuse));
-  BOOST_TEST(Late.Why.Reason == "draining");
-  BOOST_TEST(Slots.running() == 1u);
+  BOOST_TEST(Slots.advanceQueue(Start).ToDrop.size() == 1u);
+  Admission::Result Late = Slots.admit(askOf(3, Millis(9000)), Start);
+  BOOST_TEST((Late.Action == Admission::Decision::Refuse));
+  BOOST_TEST(Late.RefusalDetails.Reason == "draining");
+  BOOST_TEST(Slots.runningCount() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(WarmupOpensSlotsSlowly) {
@@ -186,29 +187,29 @@
 BOOST_AUTO_TEST_CASE(ANewStartIsNotTakenForSlow) {
   Admission Slots({}, 1);
   Slots.configure(serviceOf(1, 10), Start);
-  Slots.ask(askOf(1, Millis(9000)), Start);
+  Slots.admit(askOf(1, Millis(9000)), Start);
   Slots.finished({1, 1}, true, Start + Millis(900));
   TimePoint Now = Start + Millis(900);
-  Slots.ask(askOf(2, Millis(9000)), Now);
-  Slots.ask(askOf(3, Millis(1300)), Now);
-  BOOST_TEST(Slots.waiting() == 0u);
-  Slots.restarted(Now);
-  Slots.ask(askOf(4, Millis(1300)), Now);
-  BOOST_TEST(Slots.waiting() == 1u);
+  Slots.admit(askOf(2, Millis(9000)), Now);
+  Slots.admit(askOf(3, Millis(1300)), Now);
+  BOOST_TEST(Slots.waitingCount() == 0u);
+  Slots.upstreamRestarted(Now);
+  Slots.admit(askOf(4, Millis(1300)), Now);
+  BOOST_TEST(Slots.waitingCount() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(SheddingLowersTheWindowAndAnswersRaiseIt) {
   Admission Slots({}, 1);
   Slots.configure(serviceOf(10, 0), Start);
   for (uint64_t I = 0; I < 10; ++I)
-    Slots.ask(askOf(I, Millis(5000)), Start);
-  Slots.shed(Start);
+    Slots.admit(askOf(I, Millis(5000)), Start);
+  Slots.upstreamShed(Start);
   uint32_t Low = Slots.load(Start).slots();
   BOOST_TEST(Low == 7u);
   for (uint64_t I = 0; I < 10; ++I)
     Slots.finished({1, I}, true, Start + Millis(1));
   for (uint64_t I = 100; I < 200; ++I) {
-    Slots.ask(askOf(I, Millis(5000)), Start);
+    Slots.admit(askOf(I, Millis(5000)), Start);
     Slots.finished({1, I}, true, Start + Millis(1));
   }
   BOOST_TEST(Slots.load(Start).slots() == 10u);
@@ -221,25 +222,26 @@
   Admission Slots({}, 1);
   Slots.configure(serviceOf(10, 10), Start);
   auto Ask = [&](uint64_t Seq, const char *Class) {
-    Admission::Ask One = askOf(Seq, Millis(5000));
-    One.Bound = &Bound;
-    One.Class = Class;
-    return Slots.ask(One, Start);
+    Admission::Request One = askOf(Seq, Millis(5000));
+    One.RouteLimit = &Bound;
+    One.CallerClass = Class;
+    return Slots.admit(One, Start);
   };
-  BOOST_TEST((Ask(1, "landlord").What == Admission::Verdict::Run));
-  BOOST_TEST((Ask(2, "landlord").What == Admission::Verdict::Refuse));
-  BOOST_TEST(Ask(3, "landlord").Why.Status == 429u);
-  BOOST_TEST((Ask(4, "claimant").What == Admission::Verdict::Run));
+  BOOST_TEST((Ask(1, "landlord").Action == Admission::Decision::Run));
+  BOOST_TEST((Ask(2, "landlord").Action == Admission::Decision::Refuse));
+  BOOST_TEST(Ask(3, "landlord").RefusalDetails.Status == 429u);
+  BOOST_TEST((Ask(4, "claimant").Action == Admission::Decision::Run));
   Slots.finished({1, 1}, true, Start);
-  BOOST_TEST((Ask(5, "landlord").What == Admission::Verdict::Run));
+  BOOST_TEST((Ask(5, "landlord").Action == Admission::Decision::Run));
 }
 
 BOOST_AUTO_TEST_CASE(KeysAreRefusedUntilTheHomeIsSettled) {
-  KeyJudge Judge({}, "a-1");
+  IdempotencyChecker Judge({}, "a-1");
   std::vector<Instance> Only = upstreams({"a-1"});
-  Judge.members(pointers(Only), Start);
+  Judge.setUpstreams(pointers(Only), Start);
   auto Ask = [&](Millis At, std::optional<Millis> Age) {
-    return Judge.ask("k", 1, Millis(60000), Age, Start + At).Why.Reason;
+    return Judge.check("k", 1, Millis(60000), Age, Start + At)
+        .RefusalDetails.Reason;
   };
   // The window and twice the list's greatest age: 150 s.
   BOOST_TEST(Ask(Millis(149000), Millis(0)) == "key-home-unsettled");
@@ -249,18 +251,18 @@
 }
 
 BOOST_AUTO_TEST_CASE(AKeyRunsOnceAndIsReplayed) {
-  KeyJudge Judge({}, "a-1");
+  IdempotencyChecker Judge({}, "a-1");
   std::vector<Instance> Only = upstreams({"a-1"});
-  Judge.members(pointers(Only), Start);
+  Judge.setUpstreams(pointers(Only), Start);
   TimePoint Now = Start + Millis(200000);
   auto Ask = [&](uint64_t Fingerprint) {
-    return Judge.ask("k", Fingerprint, Millis(60000), Millis(0), Now);
+    return Judge.check("k", Fingerprint, Millis(60000), Millis(0), Now);
   };
-  BOOST_TEST((Ask(1).What == KeyVerdict::Run));
-  BOOST_TEST(Ask(1).Why.Reason == "key-running");
-  BOOST_TEST(Ask(2).Why.Reason == "key-of-another-request");
-  Judge.answered("k", ResponseHead(), "done", Now);
-  BOOST_TEST((Ask(1).What == KeyVerdict::Replay));
+  BOOST_TEST((Ask(1).Action == KeyDecision::Run));
+  BOOST_TEST(Ask(1).RefusalDetails.Reason == "key-running");
+  BOOST_TEST(Ask(2).RefusalDetails.Reason == "key-of-another-request");
+  Judge.recordAnswer("k", ResponseHead(), "done", Now);
+  BOOST_TEST((Ask(1).Action == KeyDecision::Replay));
   BOOST_TEST(Ask(1).Body == "done");
   Now += Millis(61000);
   Judge.expire(Now);
@@ -268,19 +270,19 @@
 }
 
 BOOST_AUTO_TEST_CASE(ALostOutcomeStaysUnknownANotRunMayRunAgain) {
-  KeyJudge Judge({}, "a-1");
+  IdempotencyChecker Judge({}, "a-1");
   std::vector<Instance> Only = upstreams({"a-1"});
-  Judge.members(pointers(Only), Start);
+  Judge.setUpstreams(pointers(Only), Start);
   TimePoint Now = Start + Millis(200000);
   auto Ask = [&](const char *Key) {
-    return Judge.ask(Key, 1, Millis(60000), Millis(0), Now);
+    return Judge.check(Key, 1, Millis(60000), Millis(0), Now);
   };
   Ask("lost");
-  Judge.lost("lost", Now);
-  BOOST_TEST(Ask("lost").Why.Reason == "key-outcome-unknown");
+  Judge.recordOutcomeUnknown("lost", Now);
+  BOOST_TEST(Ask("lost").RefusalDetails.Reason == "key-outcome-unknown");
   Ask("not-run");
-  Judge.notRun("not-run");
-  BOOST_TEST((Ask("not-run").What == KeyVerdict::Run));
+  Judge.recordNotRun("not-run");
+  BOOST_TEST((Ask("not-run").Action == KeyDecision::Run));
 }
 
 // An instance joins, and some keys are its own by the new list. It has not
@@ -288,14 +290,14 @@
 // and an old home that still has the old list does not judge them either once
 // it hears of the new one.
 BOOST_AUTO_TEST_CASE(MovedKeysAreRefusedByBoth) {
-  KeyJudge Old({}, "a-1"), New({}, "a-2");
+  IdempotencyChecker Old({}, "a-1"), New({}, "a-2");
   std::vector<Instance> One = upstreams({"a-1"});
   std::vector<Instance> Two = upstreams({"a-1", "a-2"});
-  Old.members(pointers(One), Start);
-  New.members(pointers(One), Start);
+  Old.setUpstreams(pointers(One), Start);
+  New.setUpstreams(pointers(One), Start);
   TimePoint Change = Start + Millis(300000);
-  Old.members(pointers(Two), Change);
-  New.members(pointers(Two), Change);
+  Old.setUpstreams(pointers(Two), Change);
+  New.setUpstreams(pointers(Two), Change);
   int Moved = 0;
   for (int I = 0; I < 50; ++I) {
     std::string Key = "k" + std::to_string(I);
@@ -303,29 +305,29 @@
       continue;
     ++Moved;
     TimePoint Soon = Change + Millis(1000);
-    BOOST_TEST(Old.ask(Key, 1, Millis(60000), Millis(0), Soon).Why.Reason ==
-               "not-the-key-home");
-    BOOST_TEST(New.ask(Key, 1, Millis(60000), Millis(0), Soon).Why.Reason ==
-               "key-home-unsettled");
+    BOOST_TEST(Old.check(Key, 1, Millis(60000), Millis(0), Soon)
+                   .RefusalDetails.Reason == "not-the-key-home");
+    BOOST_TEST(New.check(Key, 1, Millis(60000), Millis(0), Soon)
+                   .RefusalDetails.Reason == "key-home-unsettled");
     TimePoint Later = Change + Millis(151000);
-    BOOST_TEST((New.ask(Key, 1, Millis(60000), Millis(0), Later).What ==
-                KeyVerdict::Run));
+    BOOST_TEST((New.check(Key, 1, Millis(60000), Millis(0), Later).Action ==
+                KeyDecision::Run));
   }
   BOOST_TEST(Moved > 10);
 }
 
 BOOST_AUTO_TEST_CASE(FullKeyMemoryRefusesNewKeys) {
-  KeyJudge::Options Opts;
+  IdempotencyChecker::Options Opts;
   Opts.MaxKeys = 2;
-  KeyJudge Judge(Opts, "a-1");
+  IdempotencyChecker Judge(Opts, "a-1");
   std::vector<Instance> Only = upstreams({"a-1"});
-  Judge.members(pointers(Only), Start);
+  Judge.setUpstreams(pointers(Only), Start);
   TimePoint Now = Start + Millis(200000);
   for (const char *Key : {"1", "2"})
-    BOOST_TEST((Judge.ask(Key, 1, Millis(60000), Millis(0), Now).What ==
-                KeyVerdict::Run));
-  BOOST_TEST(Judge.ask("3", 1, Millis(60000), Millis(0), Now).Why.Reason ==
-             "key-memory-full");
+    BOOST_TEST((Judge.check(Key, 1, Millis(60000), Millis(0), Now).Action ==
+                KeyDecision::Run));
+  BOOST_TEST(Judge.check("3", 1, Millis(60000), Millis(0), Now)
+                 .RefusalDetails.Reason == "key-memory-full");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/gate/KeyJudge.cpp
+++ b/src/gate/IdempotencyChecker.cpp
@@ -1,4 +1,4 @@
-#include "gate/KeyJudge.h"
+#include "gate/IdempotencyChecker.h"
 
 #include "base/Hash.h"
 
@@ -59,46 +59,48 @@
   return homeAmong(Key, Upstreams);
 }
 
-void KeyJudge::members(const std::vector<const Instance *> &New,
-                       TimePoint Now) {
+void IdempotencyChecker::setUpstreams(const std::vector<const Instance *> &New,
+                                      TimePoint Now) {
   std::vector<Instance> Read;
   for (const Instance *One : New)
     Read.push_back(*One);
   auto SameNames = [](const Instance &A, const Instance &B) {
     return A.Name == B.Name;
   };
-  if (!this->FirstList)
-    this->FirstList = Now;
+  if (!this->FirstListAt)
+    this->FirstListAt = Now;
   else if (std::equal(Read.begin(), Read.end(), this->Upstreams.begin(),
                       this->Upstreams.end(), SameNames))
     return;
   else
-    this->Earlier.push_back({std::move(this->Upstreams), Now});
+    this->PastMemberships.push_back({std::move(this->Upstreams), Now});
   this->Upstreams = std::move(Read);
 }
 
-KeyJudge::Answer KeyJudge::refuse(Verdict What, const std::string &Reason,
-                                  Outcome Means, Millis RetryAfter,
-                                  unsigned Status) const {
-  Answer Out;
-  Out.What = What;
-  Out.Why.What = Means;
-  Out.Why.Reason = Reason;
-  Out.Why.Step = StepName;
-  Out.Why.Peer = this->Self;
-  Out.Why.RetryAfter = RetryAfter;
-  Out.Why.Status = Status;
+IdempotencyChecker::Result IdempotencyChecker::refuse(Decision What,
+                                                      const std::string &Reason,
+                                                      Outcome Means,
+                                                      Millis RetryAfter,
+                                                      unsigned Status) const {
+  Result Out;
+  Out.Action = What;
+  Out.RefusalDetails.What = Means;
+  Out.RefusalDetails.Reason = Reason;
+  Out.RefusalDetails.Step = StepName;
+  Out.RefusalDetails.Peer = this->Self;
+  Out.RefusalDetails.RetryAfter = RetryAfter;
+  Out.RefusalDetails.Status = Status;
   return Out;
 }
 
-std::optional<KeyJudge::Answer> KeyJudge::settle(const std::string &Key,
-                                                 Millis Window,
-                                                 std::optional<Millis> ListAge,
-                                                 TimePoint Now) const {
+std::optional<IdempotencyChecker::Result>
+IdempotencyChecker::checkHome(const std::string &Key, Millis Window,
+                              std::optional<Millis> ListAge,
+                              TimePoint Now) const {
   if (!this->Opts.Guards.SettledKeys)
     return std::nullopt;
   auto NotNow = [&](const char *Reason) {
-    return this->refuse(Verdict::Refuse, Reason, Outcome::NotRun, LaterAgain,
+    return this->refuse(Decision::Refuse, Reason, Outcome::NotRun, LaterAgain,
                         0);
   };
   if (!ListAge || *ListAge > this->Opts.MaxListAge)
@@ -107,10 +109,10 @@
   if (!Home || Home->Name != this->Self)
     return NotNow("not-the-key-home");
   Millis Proof = Window + 2 * this->Opts.MaxListAge;
-  if (!this->FirstList || Now - *this->FirstList < Proof)
+  if (!this->FirstListAt || Now - *this->FirstListAt < Proof)
     return NotNow("key-home-unsettled");
-  for (const Past &One : this->Earlier) {
-    if (Now - One.Until >= Proof)
+  for (const PastMembership &One : this->PastMemberships) {
+    if (Now - One.ReplacedAt >= Proof)
       continue;
     const Instance *Then = homeAmong(Key, One.Upstreams);
     if (!Then || Then->Name != this->Self)
@@ -119,56 +121,60 @@
   return std::nullopt;
 }
 
-KeyJudge::Answer KeyJudge::known(const Known &Of) const {
-  if (Of.Now == State::Running)
-    return this->refuse(Verdict::Conflict, "key-running", Outcome::Unknown,
+IdempotencyChecker::Result
+IdempotencyChecker::repeatResult(const KeyRecord &Of) const {
+  if (Of.CallState == State::Running)
+    return this->refuse(Decision::Conflict, "key-running", Outcome::Unknown,
                         SoonAgain, ConflictStatus);
-  if (Of.Now == State::Lost)
-    return this->refuse(Verdict::Conflict, "key-outcome-unknown",
+  if (Of.CallState == State::OutcomeUnknown)
+    return this->refuse(Decision::Conflict, "key-outcome-unknown",
                         Outcome::Unknown, Millis(0), ConflictStatus);
   if (!Of.HasBody)
-    return this->refuse(Verdict::Conflict, "key-answered-before",
+    return this->refuse(Decision::Conflict, "key-answered-before",
                         Outcome::Unknown, Millis(0), ConflictStatus);
-  Answer Out;
-  Out.What = Verdict::Replay;
+  Result Out;
+  Out.Action = Decision::Replay;
   Out.Head = Of.Head;
   Out.Body = Of.Body;
   return Out;
 }
 
-KeyJudge::Answer KeyJudge::ask(const std::string &Key, uint64_t Fingerprint,
-                               Millis Window, std::optional<Millis> ListAge,
-                               TimePoint Now) {
+IdempotencyChecker::Result
+IdempotencyChecker::check(const std::string &Key, uint64_t Fingerprint,
+                          Millis Window, std::optional<Millis> ListAge,
+                          TimePoint Now) {
   // What is remembered stays true whatever the list says now.
   auto Found = this->Keys.find(Key);
   if (Found != this->Keys.end() && this->Opts.Guards.RememberKeys) {
     if (Found->second.Fingerprint != Fingerprint)
-      return this->refuse(Verdict::Refuse, "key-of-another-request",
+      return this->refuse(Decision::Refuse, "key-of-another-request",
                           Outcome::NotRun, Millis(0), MismatchStatus);
-    return this->known(Found->second);
+    return this->repeatResult(Found->second);
   }
-  if (std::optional<Answer> Unsettled = this->settle(Key, Window, ListAge, Now))
+  if (std::optional<Result> Unsettled =
+          this->checkHome(Key, Window, ListAge, Now))
     return *Unsettled;
   if (this->Keys.size() >= this->Opts.MaxKeys)
-    return this->refuse(Verdict::Refuse, "key-memory-full", Outcome::NotRun,
+    return this->refuse(Decision::Refuse, "key-memory-full", Outcome::NotRun,
                         LaterAgain, 0);
-  Known New;
+  KeyRecord New;
   New.Fingerprint = Fingerprint;
   New.Window = Window;
   this->Keys.emplace(Key, std::move(New));
   return {};
 }
 
-void KeyJudge::answered(const std::string &Key, const ResponseHead &Head,
-                        std::string Body, TimePoint Now) {
+void IdempotencyChecker::recordAnswer(const std::string &Key,
+                                      const ResponseHead &Head,
+                                      std::string Body, TimePoint Now) {
   auto Found = this->Keys.find(Key);
   if (Found == this->Keys.end())
     return;
-  Known &Of = Found->second;
-  Of.Now = State::Answered;
+  KeyRecord &Of = Found->second;
+  Of.CallState = State::Answered;
   Of.Head = Head;
-  this->forgetAt(Key, Of, Now + Of.Window);
-  bool Fits = Body.size() <= this->Opts.MaxAnswerBytes &&
+  this->scheduleExpiry(Key, Of, Now + Of.Window);
+  bool Fits = Body.size() <= this->Opts.MaxStoredAnswerBytes &&
               this->ReplayBytes + Body.size() <= this->Opts.MaxReplayBytes;
   if (!Fits)
     return;
@@ -177,43 +183,46 @@
   Of.HasBody = true;
 }
 
-void KeyJudge::notRun(const std::string &Key) {
+void IdempotencyChecker::recordNotRun(const std::string &Key) {
   auto Found = this->Keys.find(Key);
-  if (Found != this->Keys.end() && Found->second.Now == State::Running)
-    this->forget(Found);
+  if (Found != this->Keys.end() && Found->second.CallState == State::Running)
+    this->erase(Found);
 }
 
-void KeyJudge::lost(const std::string &Key, TimePoint Now) {
+void IdempotencyChecker::recordOutcomeUnknown(const std::string &Key,
+                                              TimePoint Now) {
   auto Found = this->Keys.find(Key);
-  if (Found == this->Keys.end() || Found->second.Now != State::Running)
+  if (Found == this->Keys.end() || Found->second.CallState != State::Running)
     return;
-  Found->second.Now = State::Lost;
-  this->forgetAt(Key, Found->second, Now + Found->second.Window);
+  Found->second.CallState = State::OutcomeUnknown;
+  this->scheduleExpiry(Key, Found->second, Now + Found->second.Window);
 }
 
-void KeyJudge::forgetAt(const std::string &Key, Known &Of, TimePoint At) {
-  Of.ForgetAt = At;
-  this->Forget.emplace(At, Key);
+void IdempotencyChecker::scheduleExpiry(const std::string &Key, KeyRecord &Of,
+                                        TimePoint At) {
+  Of.ExpiresAt = At;
+  this->ExpiryQueue.emplace(At, Key);
 }
 
-void KeyJudge::forget(std::map<std::string, Known>::iterator At) {
+void IdempotencyChecker::erase(std::map<std::string, KeyRecord>::iterator At) {
   this->ReplayBytes -= At->second.Body.size();
   this->Keys.erase(At);
 }
 
-void KeyJudge::expire(TimePoint Now) {
-  while (!this->Forget.empty() && this->Forget.begin()->first <= Now) {
-    auto Found = this->Keys.find(this->Forget.begin()->second);
-    this->Forget.erase(this->Forget.begin());
-    if (Found != this->Keys.end() && Found->second.ForgetAt <= Now)
-      this->forget(Found);
+void IdempotencyChecker::expire(TimePoint Now) {
+  while (!this->ExpiryQueue.empty() &&
+         this->ExpiryQueue.begin()->first <= Now) {
+    auto Found = this->Keys.find(this->ExpiryQueue.begin()->second);
+    this->ExpiryQueue.erase(this->ExpiryQueue.begin());
+    if (Found != this->Keys.end() && Found->second.ExpiresAt <= Now)
+      this->erase(Found);
   }
   // The longest window that a service may have, and the proof's two lists.
   constexpr std::chrono::hours LongestWindow{1};
-  while (!this->Earlier.empty() &&
-         Now - this->Earlier.front().Until >
+  while (!this->PastMemberships.empty() &&
+         Now - this->PastMemberships.front().ReplacedAt >
              LongestWindow + 2 * this->Opts.MaxListAge)
-    this->Earlier.pop_front();
+    this->PastMemberships.pop_front();
 }
 
 } // namespace hickorylift
--- a/src/gate/KeyJudge.h
+++ b/src/gate/IdempotencyChecker.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYLIFT_GATE_KEYJUDGE_H
-#define HICKORYLIFT_GATE_KEYJUDGE_H
+#ifndef HICKORYLIFT_GATE_IDEMPOTENCYCHECKER_H
+#define HICKORYLIFT_GATE_IDEMPOTENCYCHECKER_H
 
 #include "base/Safeguards.h"
 #include "calls/Message.h"
@@ -17,7 +17,7 @@
 //   KeyJudge Judge(KeyJudge::Options(), "approval-2");
 //   Judge.members(Upstreams, Now);             // at each new list
 //   KeyJudge::Answer A = Judge.ask(Key, Fingerprint, Window, ListAge, Now);
-//   if (A.What == KeyJudge::Verdict::Run) run();
+//   if (A.What == KeyJudge::Decision::Run) run();
 //   ...
 //   Judge.answered(Key, Head, Body, Now);      // or notRun(), or lost()
 //
@@ -30,7 +30,7 @@
 const Instance *keyHome(const std::string &Key,
                         const std::vector<const Instance *> &Upstreams);
 
-class KeyJudge {
+class IdempotencyChecker {
 public:
   struct Options {
     /// A list older than this is too old to judge by: another instance may
@@ -40,12 +40,12 @@
     size_t MaxKeys = 200000;
     /// An answer is kept for replay up to this size, and all of them together
     /// up to MaxReplayBytes; a longer one is remembered as answered only.
-    size_t MaxAnswerBytes = 64 * 1024;
+    size_t MaxStoredAnswerBytes = 64 * 1024;
     size_t MaxReplayBytes = 24u << 20;
     Safeguards Guards;
   };
 
-  enum class Verdict {
+  enum class Decision {
     /// Not seen before within the window: it may run.
     Run,
     /// Not run by this judge, and not to be run now.
@@ -57,67 +57,68 @@
     Conflict,
   };
 
-  struct Answer {
-    Verdict What = Verdict::Run;
-    Refusal Why;
+  struct Result {
+    Decision Action = Decision::Run;
+    Refusal RefusalDetails;
     ResponseHead Head;
     std::string Body;
   };
 
-  KeyJudge(Options Opts, std::string Self)
+  IdempotencyChecker(Options Opts, std::string Self)
       : Opts(Opts), Self(std::move(Self)) {}
 
   /// The service's upstreams of all data centres, as the newest lists say.
-  void members(const std::vector<const Instance *> &Upstreams, TimePoint Now);
+  void setUpstreams(const std::vector<const Instance *> &Upstreams,
+                    TimePoint Now);
   /// Fingerprint tells one request from another with the same key; Window is
   /// how long the service's callers may repeat.
-  Answer ask(const std::string &Key, uint64_t Fingerprint, Millis Window,
-             std::optional<Millis> ListAge, TimePoint Now);
-  void answered(const std::string &Key, const ResponseHead &Head,
-                std::string Body, TimePoint Now);
+  Result check(const std::string &Key, uint64_t Fingerprint, Millis Window,
+               std::optional<Millis> ListAge, TimePoint Now);
+  void recordAnswer(const std::string &Key, const ResponseHead &Head,
+                    std::string Body, TimePoint Now);
   /// No byte of it reached the upstream: it may be asked again.
-  void notRun(const std::string &Key);
+  void recordNotRun(const std::string &Key);
   /// It may have run; nobody will ever know.
-  void lost(const std::string &Key, TimePoint Now);
+  void recordOutcomeUnknown(const std::string &Key, TimePoint Now);
   void expire(TimePoint Now);
 
   size_t size() const { return this->Keys.size(); }
 
 private:
-  enum class State { Running, Answered, Lost };
+  enum class State { Running, Answered, OutcomeUnknown };
 
-  struct Known {
-    State Now = State::Running;
+  struct KeyRecord {
+    State CallState = State::Running;
     uint64_t Fingerprint = 0;
     ResponseHead Head;
     std::string Body;
     bool HasBody = false;
     Millis Window{0};
-    TimePoint ForgetAt = TimePoint::max();
+    TimePoint ExpiresAt = TimePoint::max();
   };
 
-  Answer refuse(Verdict What, const std::string &Reason, Outcome Means,
+  Result refuse(Decision What, const std::string &Reason, Outcome Means,
                 Millis RetryAfter, unsigned Status) const;
-  std::optional<Answer> settle(const std::string &Key, Millis Window,
-                               std::optional<Millis> ListAge,
-                               TimePoint Now) const;
-  Answer known(const Known &Of) const;
-  void forgetAt(const std::string &Key, Known &Of, TimePoint At);
-  void forget(std::map<std::string, Known>::iterator At);
+  std::optional<Result> checkHome(const std::string &Key, Millis Window,
+                                  std::optional<Millis> ListAge,
+                                  TimePoint Now) const;
+  Result repeatResult(const KeyRecord &Of) const;
+  void scheduleExpiry(const std::string &Key, KeyRecord &Of, TimePoint At);
+  void erase(std::map<std::string, KeyRecord>::iterator At);
 
   /// One earlier membership, and when it was replaced.
-  struct Past {
+  struct PastMembership {
     std::vector<Instance> Upstreams;
-    TimePoint Until;
+    TimePoint ReplacedAt;
   };
 
   Options Opts;
   std::string Self;
   std::vector<Instance> Upstreams;
-  std::deque<Past> Earlier;
-  std::optional<TimePoint> FirstList;
-  std::map<std::string, Known> Keys;
-  std::multimap<TimePoint, std::string> Forget;
+  std::deque<PastMembership> PastMemberships;
+  std::optional<TimePoint> FirstListAt;
+  std::map<std::string, KeyRecord> Keys;
+  std::multimap<TimePoint, std::string> ExpiryQueue;
   size_t ReplayBytes = 0;
 };
 
--- a/src/gate/LoadTest.cpp
+++ b/src/gate/LoadTest.cpp
@@ -77,7 +77,7 @@
   };
 
   void ask(const Kind &Of, TimePoint Now) {
-    Admission::Ask One;
+    Admission::Request One;
     One.Id = {1, ++this->LastId};
     One.Deadline = Now + Of.Deadline;
     One.Target = Now + Of.Target;
@@ -85,7 +85,7 @@
     One.Kind = Of.Name;
     this->Calls[One.Id] = {&Of, Now};
     ++this->Fates[Of.Name].Asked;
-    if (this->At.ask(One, Now).What == Admission::Verdict::Run)
+    if (this->At.admit(One, Now).Action == Admission::Decision::Run)
       this->begin(One.Id, Now);
   }
 
@@ -107,7 +107,7 @@
   }
 
   void pump(TimePoint Now) {
-    for (const CallId &Id : this->At.next(Now).Run)
+    for (const CallId &Id : this->At.advanceQueue(Now).ToRun)
       this->begin(Id, Now);
   }
 
@@ -138,7 +138,7 @@
   double play() {
     for (TimePoint Now = Start; Now < Start + Length; Now += Millis(1)) {
       this->endRuns(Now);
-      for (const Admission::Dropped &One : this->pump(Now).Drop)
+      for (const Admission::DroppedCall &One : this->pump(Now).ToDrop)
         this->Calls.erase(One.Id);
       this->Owed += RunsPerSecond / 1000;
       for (; this->Owed >= 1; this->Owed -= 1)
@@ -162,23 +162,23 @@
   };
 
   void ask(uint64_t Node, bool IsSecond, TimePoint Now) {
-    Admission::Ask One;
+    Admission::Request One;
     One.Id = {Node, ++this->LastId};
     One.Target = Now + Target;
     One.Deadline = Now + Deadline;
     One.Kind = "lookup";
     One.Rank = this->Ranked ? this->Ranks[Node].at(Now) : 0;
-    Admission::Verdict What = this->At.ask(One, Now).What;
-    if (What == Admission::Verdict::Refuse)
+    Admission::Decision What = this->At.admit(One, Now).Action;
+    if (What == Admission::Decision::Refuse)
       return;
     this->Calls[One.Id] = {Node, IsSecond};
-    if (What == Admission::Verdict::Run)
+    if (What == Admission::Decision::Run)
       this->Ends.emplace(Now + Run, One.Id);
   }
 
-  Admission::Next pump(TimePoint Now) {
-    Admission::Next Turn = this->At.next(Now);
-    for (const CallId &Id : Turn.Run)
+  Admission::QueueUpdate pump(TimePoint Now) {
+    Admission::QueueUpdate Turn = this->At.advanceQueue(Now);
+    for (const CallId &Id : Turn.ToRun)
       this->Ends.emplace(Now + Run, Id);
     return Turn;
   }
@@ -243,7 +243,7 @@
   const char *What;
   Millis Target;
   Millis Deadline;
-  Admission::Verdict Verdict;
+  Admission::Decision Decision;
 };
 std::ostream &operator<<(std::ostream &To, const Waiter &Of) {
   return To << Of.What;
@@ -251,11 +251,11 @@
 
 const Waiter Waiters[] = {
     {"can meet its target", Millis(400), Millis(1000),
-     Admission::Verdict::Wait},
+     Admission::Decision::Wait},
     {"can meet its deadline only", Millis(150), Millis(1000),
-     Admission::Verdict::Refuse},
-    {"has no target", Millis(1000), Millis(1000), Admission::Verdict::Wait},
-    {"can meet neither", Millis(50), Millis(90), Admission::Verdict::Refuse},
+     Admission::Decision::Refuse},
+    {"has no target", Millis(1000), Millis(1000), Admission::Decision::Wait},
+    {"can meet neither", Millis(50), Millis(90), Admission::Decision::Refuse},
 };
 
 // One upstream is slow, others are not. A call that cannot meet its target at
@@ -270,19 +270,19 @@
   Of.QueueLimit = 10;
   Admission At(Admission::Options(), 1);
   At.configure(Of, Start);
-  Admission::Ask First;
+  Admission::Request First;
   First.Id = {1, 1};
   First.Deadline = Start + Millis(5000);
-  At.ask(First, Start);
+  At.admit(First, Start);
   At.finished(First.Id, /*Answered=*/true, Start + Millis(100));
   TimePoint Now = Start + Millis(100);
   First.Id = {1, 2};
-  At.ask(First, Now);
-  Admission::Ask Next;
+  At.admit(First, Now);
+  Admission::Request Next;
   Next.Id = {1, 3};
   Next.Target = Now + Row.Target;
   Next.Deadline = Now + Row.Deadline;
-  BOOST_TEST((At.ask(Next, Now).What == Row.Verdict));
+  BOOST_TEST((At.admit(Next, Now).Action == Row.Decision));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/gate/TransferTurns.h
+++ b/src/gate/TransferScheduler.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYLIFT_GATE_TRANSFERTURNS_H
-#define HICKORYLIFT_GATE_TRANSFERTURNS_H
+#ifndef HICKORYLIFT_GATE_TRANSFERSCHEDULER_H
+#define HICKORYLIFT_GATE_TRANSFERSCHEDULER_H
 
 #include "base/Time.h"
 #include "calls/Message.h"
@@ -24,32 +24,33 @@
 
 namespace hickorylift {
 
-class TransferTurns {
+class TransferScheduler {
 public:
   struct Options {
     /// Bodies on their way at once. One alone would leave the link idle while
     /// the next is told.
-    size_t AtOnce = 2;
+    size_t MaxConcurrent = 2;
     /// A body that is still not whole after this keeps no turn: its entry may
     /// be gone, or on a slower link than ours. Much longer than a body takes on
     /// a full link of ours, or there would soon be more than AtOnce: with 250
     /// ms, a call of 1 KB was 52 ms on its way to gates with links of 7 Mbit/s,
     /// and 40 with this.
-    Millis Longest{1000};
+    Millis SlotTimeout{1000};
     /// Weight of the newest body in the time that one takes, and the time in
     /// which what is known of it halves: when the link is free again, nobody is
     /// there to show it.
-    double Weight = 0.2;
+    double NewestWeight = 0.2;
     Millis HalfLife{1000};
   };
 
-  explicit TransferTurns(Options Opts) : Opts(Opts) {}
+  explicit TransferScheduler(Options Opts) : Opts(Opts) {}
 
   /// Whether the body may come now; if not, its turn comes by next().
-  bool ask(const CallId &Id, TimePoint Now) {
-    this->forgetSlow(Now);
-    if (this->Coming.size() < this->Opts.AtOnce && this->Waiting.empty()) {
-      this->Coming[Id] = Now;
+  bool request(const CallId &Id, TimePoint Now) {
+    this->expireSlow(Now);
+    if (this->ActiveSince.size() < this->Opts.MaxConcurrent &&
+        this->Waiting.empty()) {
+      this->ActiveSince[Id] = Now;
       return true;
     }
     this->Waiting.push_back(Id);
@@ -57,39 +58,42 @@
   }
 
   /// The body is whole.
-  void ended(const CallId &Id, TimePoint Now) {
-    if (auto Found = this->Coming.find(Id); Found != this->Coming.end())
-      this->learn(Now - Found->second, Now);
-    this->forget(Id);
+  void finished(const CallId &Id, TimePoint Now) {
+    if (auto Found = this->ActiveSince.find(Id);
+        Found != this->ActiveSince.end())
+      this->recordTime(Now - Found->second, Now);
+    this->cancel(Id);
   }
 
   /// Nobody waits for the body any more.
-  void forget(const CallId &Id) {
-    if (this->Coming.erase(Id) == 0)
+  void cancel(const CallId &Id) {
+    if (this->ActiveSince.erase(Id) == 0)
       std::erase(this->Waiting, Id);
   }
 
   /// What a body has usually taken of late, once it was its turn.
-  Clock::duration usual(TimePoint Now) const {
+  Clock::duration usualTime(TimePoint Now) const {
     return std::chrono::duration_cast<Clock::duration>(
-        this->Usual * std::exp2(-Seconds(Now - this->LearntAt) /
-                                Seconds(this->Opts.HalfLife)));
+        this->MeanTime * std::exp2(-Seconds(Now - this->MeanUpdatedAt) /
+                                   Seconds(this->Opts.HalfLife)));
   }
 
   /// In what time a body would be whole, were it asked for now.
-  Clock::duration expected(TimePoint Now) const {
+  Clock::duration expectedTime(TimePoint Now) const {
     auto Before = static_cast<int64_t>(this->Waiting.size());
-    return this->usual(Now) +
-           this->usual(Now) * Before / static_cast<int64_t>(this->Opts.AtOnce);
+    return this->usualTime(Now) +
+           this->usualTime(Now) * Before /
+               static_cast<int64_t>(this->Opts.MaxConcurrent);
   }
 
   /// Whose turn it has become, in the order in which they asked.
-  std::vector<CallId> next(TimePoint Now) {
-    this->forgetSlow(Now);
+  std::vector<CallId> startNext(TimePoint Now) {
+    this->expireSlow(Now);
     std::vector<CallId> Out;
-    while (!this->Waiting.empty() && this->Coming.size() < this->Opts.AtOnce) {
+    while (!this->Waiting.empty() &&
+           this->ActiveSince.size() < this->Opts.MaxConcurrent) {
       Out.push_back(this->Waiting.front());
-      this->Coming[this->Waiting.front()] = Now;
+      this->ActiveSince[this->Waiting.front()] = Now;
       this->Waiting.pop_front();
     }
     return Out;
@@ -98,28 +102,28 @@
 private:
   using Seconds = std::chrono::duration<double>;
 
-  void learn(Clock::duration Took, TimePoint Now) {
-    Seconds Known = this->usual(Now);
-    this->Usual = Known + (Seconds(Took) - Known) * this->Opts.Weight;
-    this->LearntAt = Now;
+  void recordTime(Clock::duration Took, TimePoint Now) {
+    Seconds Known = this->usualTime(Now);
+    this->MeanTime = Known + (Seconds(Took) - Known) * this->Opts.NewestWeight;
+    this->MeanUpdatedAt = Now;
   }
 
-  void forgetSlow(TimePoint Now) {
-    for (auto At = this->Coming.begin(); At != this->Coming.end();) {
-      bool Slow = Now - At->second > this->Opts.Longest;
+  void expireSlow(TimePoint Now) {
+    for (auto At = this->ActiveSince.begin(); At != this->ActiveSince.end();) {
+      bool Slow = Now - At->second > this->Opts.SlotTimeout;
       if (Slow)
-        this->learn(Now - At->second, Now);
-      At = Slow ? this->Coming.erase(At) : std::next(At);
+        this->recordTime(Now - At->second, Now);
+      At = Slow ? this->ActiveSince.erase(At) : std::next(At);
     }
   }
 
   Options Opts;
   // Since when each is on its way.
-  std::map<CallId, TimePoint> Coming;
+  std::map<CallId, TimePoint> ActiveSince;
   std::deque<CallId> Waiting;
   // From a body's turn until it is whole.
-  Seconds Usual{0};
-  TimePoint LearntAt;
+  Seconds MeanTime{0};
+  TimePoint MeanUpdatedAt;
 };
 
 } // namespace hickorylift
--- a/src/node/NodeCore.cpp
+++ b/src/node/NodeCore.cpp
@@ -118,7 +118,7 @@
     this->sendToGate(Gate, std::move(Frame));
   };
   Out.Judge = [this](const Fingerprint &Of, TimePoint Now) {
-    return this->Control->quarantine().judge(Of, Now);
+    return this->Control->quarantine().check(Of, Now);
   };
   Out.Close = [this](const std::string &Gate) {
     auto Link = this->GateLinks.find(Gate);
@@ -140,12 +140,12 @@
     return this->Control->oldestListAge(Now);
   };
   Out.Judge = [this](const Fingerprint &Of, TimePoint Now) {
-    return this->Control->quarantine().judge(Of, Now);
+    return this->Control->quarantine().check(Of, Now);
   };
   Out.RanWell = [this](const Fingerprint &Of, TimePoint Now) {
-    this->Control->quarantine().answered(Of, Now);
+    this->Control->quarantine().requestAnswered(Of, Now);
   };
-  Out.Crashed = [this](const std::vector<Quarantine::Ran> &Running,
+  Out.Crashed = [this](const std::vector<Quarantine::RunningRequest> &Running,
                        TimePoint Now) {
     this->Control->upstreamCrashed(Running, Now);
   };
--- a/src/operator/Metrics.cpp
+++ b/src/operator/Metrics.cpp
@@ -86,19 +86,19 @@
   Set("hickorylift_upstream_crashes", "Crashes of this node's upstream",
       Hold.counters().Crashes);
   Set("hickorylift_quarantine_held", "Requests that came to be held",
-      Hold.counters().Held);
+      Hold.counters().Quarantined);
   Set("hickorylift_quarantine_released",
       "Requests that were held and are not any more", Hold.counters().Released);
-  using Standing = Quarantine::Standing;
+  using Standing = Quarantine::Status;
   std::map<Standing, unsigned> ByStanding = {
-      {Standing::Suspect, 0}, {Standing::Trial, 0}, {Standing::Held, 0}};
+      {Standing::Suspect, 0}, {Standing::Trial, 0}, {Standing::Quarantined, 0}};
   for (const auto &[Print, One] : Hold.records())
-    ++ByStanding[Hold.standing(One, Now).What];
+    ++ByStanding[Hold.evaluate(One, Now).RequestStatus];
   ByStanding.erase(Standing::Free);
   for (const auto &[What, Count] : ByStanding)
     this->set("hickorylift_quarantine_requests",
               "Requests that may crash upstreams, by what stands against them",
-              Count, {{"standing", standingName(What)}});
+              Count, {{"standing", statusName(What)}});
 }
 
 std::string Metrics::text(Node &Of) {
--- a/src/operator/OperatorServer.cpp
+++ b/src/operator/OperatorServer.cpp
@@ -251,21 +251,22 @@
   TimePoint Now = this->Of.now();
   const Quarantine &All = this->Of.core().control().quarantine();
   Json::Value Out(Json::arrayValue);
-  using Standing = Quarantine::Standing;
-  for (Standing Wanted : {Standing::Held, Standing::Trial, Standing::Suspect})
+  using Standing = Quarantine::Status;
+  for (Standing Wanted :
+       {Standing::Quarantined, Standing::Trial, Standing::Suspect})
     for (const auto &[Print, One] : All.records()) {
-      Quarantine::Verdict Known = All.standing(One, Now);
-      if (Known.What != Wanted)
+      Quarantine::Decision Known = All.evaluate(One, Now);
+      if (Known.RequestStatus != Wanted)
         continue;
       Json::Value Row(Json::objectValue);
       Row["fingerprint"] = Print.text();
-      Row["request"] = One.Request;
-      Row["standing"] = standingName(Known.What);
-      std::vector<Quarantine::Crash> By = One.counting();
+      Row["request"] = One.Description;
+      Row["standing"] = statusName(Known.RequestStatus);
+      std::vector<Quarantine::Crash> By = One.activeCrashes();
       Row["crashes"] = Json::UInt64(By.size());
       Row["last_crash_ago_ms"] =
           Json::Int64(toMillis(Now - By.back().At).count());
-      Row["come_back_ms"] = Json::Int64(Known.ComeBack.count());
+      Row["come_back_ms"] = Json::Int64(Known.RetryAfter.count());
       Out.append(Row);
     }
   return Out;
--- a/src/quarantine/Codec.cpp
+++ b/src/quarantine/Codec.cpp
@@ -25,16 +25,18 @@
 
 } // namespace
 
-wire::SpreadFrameT toFrame(const std::vector<const Quarantine::Record *> &Which,
-                           TimePoint Now) {
+wire::SpreadFrameT
+encodeRecords(const std::vector<const Quarantine::Record *> &Which,
+              TimePoint Now) {
   wire::QuarantineT Out;
   for (const Quarantine::Record *Of : Which) {
     auto One = std::make_unique<wire::QuarantineRecordT>();
-    One->fingerprint = Of->Of.Hash;
-    One->request = Of->Request;
+    One->fingerprint = Of->RequestFingerprint.Hash;
+    One->request = Of->Description;
     for (const Quarantine::Crash &Crash : Of->Crashes)
-      One->crashes.emplace_back(Crash.Id, ageOf(Crash.At, Now), Crash.Alone,
-                                Crash.Cleared, Crash.Service);
+      One->crashes.emplace_back(Crash.Id, ageOf(Crash.At, Now),
+                                Crash.OnlySuspect, Crash.Cleared,
+                                Crash.ServiceHash);
     Out.records.push_back(std::move(One));
   }
   wire::SpreadFrameT Frame;
@@ -42,17 +44,17 @@
   return Frame;
 }
 
-std::vector<Quarantine::Record> fromFrame(const wire::QuarantineT &Said,
-                                          TimePoint Now) {
+std::vector<Quarantine::Record> decodeRecords(const wire::QuarantineT &Said,
+                                              TimePoint Now) {
   std::vector<Quarantine::Record> Out;
   for (const auto &One : Said.records) {
     if (!One || Out.size() >= MaxRecords)
       continue;
     Quarantine::Record Of;
-    Of.Of = {One->fingerprint};
-    Of.Request = One->request.substr(0, MaxText);
+    Of.RequestFingerprint = {One->fingerprint};
+    Of.Description = One->request.substr(0, MaxText);
     for (const wire::QuarantineCrash &Crash : One->crashes)
-      if (Of.Crashes.size() < Quarantine::MaxCrashes)
+      if (Of.Crashes.size() < Quarantine::MaxCrashesPerRecord)
         Of.Crashes.push_back({Crash.id(), timeOf(Crash.age_ms(), Now),
                               Crash.alone(), Crash.cleared(), Crash.service()});
     Out.push_back(std::move(Of));
--- a/src/quarantine/Fingerprint.cpp
+++ b/src/quarantine/Fingerprint.cpp
@@ -24,8 +24,9 @@
   return Hash ? std::optional(Fingerprint{*Hash}) : std::nullopt;
 }
 
-Fingerprint fingerprintOf(const RequestHead &Head, const std::string &Customer,
-                          std::string_view Body) {
+Fingerprint computeFingerprint(const RequestHead &Head,
+                               const std::string &Customer,
+                               std::string_view Body) {
   uint64_t Sum = 0;
   for (const std::string &Part :
        {Head.Method, hostName(findHeader(Head.Headers, "Host")), Head.Path,
--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -34,15 +34,15 @@
 
 namespace hickorylift {
 
-const char *standingName(Quarantine::Standing Of) {
+const char *statusName(Quarantine::Status Of) {
   switch (Of) {
-  case Quarantine::Standing::Free:
+  case Quarantine::Status::Free:
     return "free";
-  case Quarantine::Standing::Suspect:
+  case Quarantine::Status::Suspect:
     return "suspect";
-  case Quarantine::Standing::Trial:
+  case Quarantine::Status::Trial:
     return "trial";
-  case Quarantine::Standing::Held:
+  case Quarantine::Status::Quarantined:
     return "held";
   }
   return "";
@@ -51,7 +51,7 @@
 Quarantine::Quarantine(Options GivenOpts, Hooks Hooks)
     : Opts(std::move(GivenOpts)), Hook(std::move(Hooks)) {}
 
-std::vector<Quarantine::Crash> Quarantine::Record::counting() const {
+std::vector<Quarantine::Crash> Quarantine::Record::activeCrashes() const {
   std::vector<Crash> Out;
   for (const Crash &One : this->Crashes)
     if (!One.Cleared)
@@ -59,78 +59,78 @@
   return Out;
 }
 
-bool Quarantine::isConvicted(const std::vector<Crash> &By) const {
-  return By.size() >= this->Opts.Crashes &&
+bool Quarantine::meetsThreshold(const std::vector<Crash> &By) const {
+  return By.size() >= this->Opts.CrashThreshold &&
          std::any_of(By.begin(), By.end(),
-                     [](const Crash &One) { return One.Alone; });
+                     [](const Crash &One) { return One.OnlySuspect; });
 }
 
 // The term doubles with each crash of a trial.
-Millis Quarantine::termOf(size_t Crashes) const {
-  Millis Term = this->Opts.Term;
-  for (size_t I = this->Opts.Crashes;
-       I < Crashes && Term < this->Opts.LongestTerm; ++I)
+Millis Quarantine::quarantineTerm(size_t Crashes) const {
+  Millis Term = this->Opts.InitialTerm;
+  for (size_t I = this->Opts.CrashThreshold;
+       I < Crashes && Term < this->Opts.MaxTerm; ++I)
     Term *= 2;
-  return std::min(Term, this->Opts.LongestTerm);
+  return std::min(Term, this->Opts.MaxTerm);
 }
 
-Quarantine::Verdict Quarantine::standing(const Record &Of,
-                                         TimePoint Now) const {
-  std::vector<Crash> By = Of.counting();
+Quarantine::Decision Quarantine::evaluate(const Record &Of,
+                                          TimePoint Now) const {
+  std::vector<Crash> By = Of.activeCrashes();
   if (By.empty())
     return {};
   Millis Since = toMillis(Now - By.back().At);
-  if (this->isConvicted(By)) {
-    Millis Term = this->termOf(By.size());
+  if (this->meetsThreshold(By)) {
+    Millis Term = this->quarantineTerm(By.size());
     if (Since < Term)
-      return {Standing::Held, Term - Since};
-    return {Since < 2 * Term ? Standing::Trial : Standing::Free, Millis(0)};
+      return {Status::Quarantined, Term - Since};
+    return {Since < 2 * Term ? Status::Trial : Status::Free, Millis(0)};
   }
-  if (Since >= this->Opts.SuspectFor)
+  if (Since >= this->Opts.SuspectTerm)
     return {};
-  bool Last = By.size() + 1 >= this->Opts.Crashes;
-  return {Last ? Standing::Trial : Standing::Suspect, Millis(0)};
+  bool Last = By.size() + 1 >= this->Opts.CrashThreshold;
+  return {Last ? Status::Trial : Status::Suspect, Millis(0)};
 }
 
-Quarantine::Verdict Quarantine::judge(const Fingerprint &Of,
-                                      TimePoint Now) const {
-  auto Found = this->Known.find(Of);
+Quarantine::Decision Quarantine::check(const Fingerprint &Of,
+                                       TimePoint Now) const {
+  auto Found = this->Records.find(Of);
   bool Holds = this->Opts.Enabled && this->Opts.Guards.HoldCrashers;
-  if (Found == this->Known.end() || !Holds)
+  if (Found == this->Records.end() || !Holds)
     return {};
-  return this->standing(Found->second, Now);
+  return this->evaluate(Found->second, Now);
 }
 
-void Quarantine::upstreamCrashed(const std::vector<Ran> &Running,
+void Quarantine::upstreamCrashed(const std::vector<RunningRequest> &Running,
                                  TimePoint Now) {
   ++this->Counts.Crashes;
   std::map<Fingerprint, std::string> Unique;
-  for (const Ran &One : Running)
-    Unique.emplace(One.Of, One.Request);
+  for (const RunningRequest &One : Running)
+    Unique.emplace(One.RequestFingerprint, One.Description);
   std::vector<Fingerprint> Suspects;
   for (const auto &[Of, Request] : Unique)
-    if (this->judge(Of, Now).What != Standing::Free)
+    if (this->check(Of, Now).RequestStatus != Status::Free)
       Suspects.push_back(Of);
   if (Suspects.empty() && Unique.size() == 1)
     Suspects.push_back(Unique.begin()->first);
   Crash New;
   New.Id = combineHash(
       combineHash(contentHash(this->Opts.Self), this->Opts.Incarnation),
-      ++this->LastCrash);
+      ++this->LastCrashNumber);
   New.At = Now;
-  New.Service = contentHash(this->Opts.Service);
+  New.ServiceHash = contentHash(this->Opts.Service);
   std::vector<Fingerprint> Changed;
   for (const auto &[Of, Request] : Unique) {
     Record Said;
-    Said.Of = Of;
-    Said.Request = Request;
-    New.Alone = Suspects.size() == 1 && Suspects.front() == Of;
+    Said.RequestFingerprint = Of;
+    Said.Description = Request;
+    New.OnlySuspect = Suspects.size() == 1 && Suspects.front() == Of;
     Said.Crashes.push_back(New);
     if (this->merge(Said, Now, this->Opts.Self))
       Changed.push_back(Of);
   }
-  this->bound();
-  this->tellOf(Changed, std::nullopt, Now);
+  this->enforceLimit();
+  this->sendRecords(Changed, std::nullopt, Now);
 }
 
 namespace {
@@ -143,7 +143,7 @@
       });
   if (Same != To.end())
     return One.Cleared && !std::exchange(Same->Cleared, true);
-  if (To.size() >= Quarantine::MaxCrashes)
+  if (To.size() >= Quarantine::MaxCrashesPerRecord)
     return false;
   auto Later =
       std::upper_bound(To.begin(), To.end(), One,
@@ -158,114 +158,117 @@
 // Joins what is said of a request to what is known. Whether that is news.
 bool Quarantine::merge(const Record &Said, TimePoint Now,
                        const std::string &Source) {
-  auto [At, New] = this->Known.try_emplace(Said.Of);
+  auto [At, New] = this->Records.try_emplace(Said.RequestFingerprint);
   Record &Of = At->second;
-  bool WasHeld = !New && this->standing(Of, Now).What == Standing::Held;
+  bool WasHeld =
+      !New && this->evaluate(Of, Now).RequestStatus == Status::Quarantined;
   if (New) {
-    Of.Of = Said.Of;
-    Of.Request = Said.Request;
+    Of.RequestFingerprint = Said.RequestFingerprint;
+    Of.Description = Said.Description;
   }
   bool News = false;
   for (const Crash &One : Said.Crashes)
     News |= join(Of.Crashes, One);
-  if (New && (!News || this->isOver(Of, Now))) {
-    this->Known.erase(At);
+  if (New && (!News || this->isExpired(Of, Now))) {
+    this->Records.erase(At);
     return false;
   }
-  bool IsHeld = this->standing(Of, Now).What == Standing::Held;
+  bool IsHeld = this->evaluate(Of, Now).RequestStatus == Status::Quarantined;
   if (IsHeld && !WasHeld) {
-    ++this->Counts.Held;
-    Millis Term = this->termOf(Of.counting().size());
-    this->Hook.Changed({"request-held", &Of, Source, Term}, Now);
+    ++this->Counts.Quarantined;
+    Millis Term = this->quarantineTerm(Of.activeCrashes().size());
+    this->Hook.StatusChanged({"request-held", &Of, Source, Term}, Now);
   } else if (WasHeld && !IsHeld) {
     ++this->Counts.Released;
-    this->Hook.Changed({"request-cleared", &Of, Source, Millis(0)}, Now);
+    this->Hook.StatusChanged({"request-cleared", &Of, Source, Millis(0)}, Now);
   }
   return News;
 }
 
 // Clears the crashes of one service, or all.
-bool Quarantine::clear(const Fingerprint &Of, std::optional<uint64_t> OfService,
-                       const std::string &Source, TimePoint Now) {
-  auto Found = this->Known.find(Of);
-  if (Found == this->Known.end())
+bool Quarantine::clearCrashes(const Fingerprint &Of,
+                              std::optional<uint64_t> OfService,
+                              const std::string &Source, TimePoint Now) {
+  auto Found = this->Records.find(Of);
+  if (Found == this->Records.end())
     return false;
   Record Said = Found->second;
   for (Crash &One : Said.Crashes)
-    One.Cleared |= !OfService || One.Service == *OfService;
+    One.Cleared |= !OfService || One.ServiceHash == *OfService;
   if (!this->merge(Said, Now, Source))
     return false;
-  this->tellOf({Of}, std::nullopt, Now);
+  this->sendRecords({Of}, std::nullopt, Now);
   return true;
 }
 
-void Quarantine::answered(const Fingerprint &Of, TimePoint Now) {
-  this->clear(Of, contentHash(this->Opts.Service), this->Opts.Self, Now);
+void Quarantine::requestAnswered(const Fingerprint &Of, TimePoint Now) {
+  this->clearCrashes(Of, contentHash(this->Opts.Service), this->Opts.Self, Now);
 }
 
 bool Quarantine::release(const Fingerprint &Of, TimePoint Now) {
-  return this->clear(Of, std::nullopt, "operator", Now);
+  return this->clearCrashes(Of, std::nullopt, "operator", Now);
 }
 
-void Quarantine::tellOf(const std::vector<Fingerprint> &Which,
-                        std::optional<uint64_t> ButLink, TimePoint Now) {
+void Quarantine::sendRecords(const std::vector<Fingerprint> &Which,
+                             std::optional<uint64_t> ButLink, TimePoint Now) {
   std::vector<const Record *> Out;
   for (const Fingerprint &Of : Which)
-    if (auto Found = this->Known.find(Of); Found != this->Known.end())
+    if (auto Found = this->Records.find(Of); Found != this->Records.end())
       Out.push_back(&Found->second);
   if (!Out.empty())
-    this->Hook.Tell(toFrame(Out, Now), ButLink);
+    this->Hook.SendRecords(encodeRecords(Out, Now), ButLink);
 }
 
-std::optional<wire::SpreadFrameT> Quarantine::all(TimePoint Now) const {
+std::optional<wire::SpreadFrameT> Quarantine::snapshot(TimePoint Now) const {
   std::vector<const Record *> Out;
-  for (const auto &[Of, One] : this->Known)
+  for (const auto &[Of, One] : this->Records)
     Out.push_back(&One);
   if (Out.empty())
     return std::nullopt;
-  return toFrame(Out, Now);
+  return encodeRecords(Out, Now);
 }
 
 void Quarantine::receive(uint64_t Link, const wire::QuarantineT &Said,
                          TimePoint Now) {
   std::vector<Fingerprint> Changed;
-  for (const Record &One : fromFrame(Said, Now))
+  for (const Record &One : decodeRecords(Said, Now))
     if (this->merge(One, Now, "peer"))
-      Changed.push_back(One.Of);
-  this->bound();
-  this->tellOf(Changed, Link, Now);
+      Changed.push_back(One.RequestFingerprint);
+  this->enforceLimit();
+  this->sendRecords(Changed, Link, Now);
 }
 
 // Whether nothing depends on the record any more. What was cleared is kept as
 // long as a node that was cut off may go on without knowing so.
-bool Quarantine::isOver(const Record &Of, TimePoint Now) const {
+bool Quarantine::isExpired(const Record &Of, TimePoint Now) const {
   if (Of.Crashes.empty())
     return true;
-  Millis Kept = this->isConvicted(Of.Crashes)
-                    ? 2 * this->termOf(Of.Crashes.size())
-                    : this->Opts.SuspectFor;
+  Millis Kept = this->meetsThreshold(Of.Crashes)
+                    ? 2 * this->quarantineTerm(Of.Crashes.size())
+                    : this->Opts.SuspectTerm;
   return Now - Of.Crashes.back().At >= Kept;
 }
 
 void Quarantine::tick(TimePoint Now) {
-  std::erase_if(this->Known,
-                [&](const auto &One) { return this->isOver(One.second, Now); });
+  std::erase_if(this->Records, [&](const auto &One) {
+    return this->isExpired(One.second, Now);
+  });
 }
 
 // A caller may invent requests that crash upstreams without end; what is
 // remembered of them is bounded, and what matters least goes first.
-void Quarantine::bound() {
-  while (this->Known.size() > this->Opts.MaxRequests) {
+void Quarantine::enforceLimit() {
+  while (this->Records.size() > this->Opts.MaxRecords) {
     auto Rank = [&](const Record &Of) {
-      std::vector<Crash> By = Of.counting();
-      int Weight = this->isConvicted(By) ? 2 : By.empty() ? 0 : 1;
+      std::vector<Crash> By = Of.activeCrashes();
+      int Weight = this->meetsThreshold(By) ? 2 : By.empty() ? 0 : 1;
       return std::pair(Weight, Of.Crashes.back().At);
     };
-    auto Least = std::min_element(this->Known.begin(), this->Known.end(),
+    auto Least = std::min_element(this->Records.begin(), this->Records.end(),
                                   [&](const auto &A, const auto &B) {
                                     return Rank(A.second) < Rank(B.second);
                                   });
-    this->Known.erase(Least);
+    this->Records.erase(Least);
   }
 }
 
--- a/src/quarantine/Quarantine.h
+++ b/src/quarantine/Quarantine.h
@@ -20,7 +20,7 @@
 //
 //   Quarantine Of(Options, Hooks);
 //   Fingerprint Print = fingerprintOf("portal", Head, "", Body);
-//   if (Of.judge(Print, Now).What == Quarantine::Standing::Held) refuse();
+//   if (Of.judge(Print, Now).What == Quarantine::Status::Held) refuse();
 //   Of.upstreamCrashed({{Print, "GET host/path"}}, Now);   // at its gate
 //   Of.answered(Print, Now);                               // a run ended well
 //   Of.receive(Link, Frame, Now);                          // from a neighbour
@@ -45,8 +45,9 @@
 /// what it asks: a route may be moved or split between attempts. Body is all of
 /// it, or empty where it is not held whole: then its length alone counts, and
 /// such requests are told apart less well.
-Fingerprint fingerprintOf(const RequestHead &Head, const std::string &Customer,
-                          std::string_view Body);
+Fingerprint computeFingerprint(const RequestHead &Head,
+                               const std::string &Customer,
+                               std::string_view Body);
 
 /// What a request asks, for operators: "GET host/path", cut to a bound.
 std::string describeRequest(const RequestHead &Head);
@@ -64,26 +65,26 @@
     /// Crashes under which a request must have run before it is held. One or
     /// two befall any request that runs beside another that crashes, and is
     /// sent on to the next upstream.
-    uint32_t Crashes = 3;
+    uint32_t CrashThreshold = 3;
     /// How long a request is held, from its last crash; doubled with each crash
     /// after that, up to LongestTerm. Then one upstream at a time tries it.
-    Millis Term{10 * 60 * 1000};
-    Millis LongestTerm{24 * 60 * 60 * 1000};
+    Millis InitialTerm{10 * 60 * 1000};
+    Millis MaxTerm{24 * 60 * 60 * 1000};
     /// A request is suspected for so long after a crash. Its caller, or another
     /// one, must come again within this for the next crash to count with the
     /// last.
-    Millis SuspectFor{10 * 60 * 1000};
+    Millis SuspectTerm{10 * 60 * 1000};
     /// Requests remembered. Beyond this the one that matters least goes: those
     /// that were cleared, then suspects, then the longest held.
-    size_t MaxRequests = 1000;
+    size_t MaxRecords = 1000;
     /// All on, but in scenarios.
     Safeguards Guards;
   };
 
   /// Crashes kept of one request. More say nothing new, and are left out.
-  static constexpr size_t MaxCrashes = 32;
+  static constexpr size_t MaxCrashesPerRecord = 32;
 
-  enum class Standing {
+  enum class Status {
     /// Nothing is known against it.
     Free,
     /// Ran at an upstream that crashed. It may run at any gate, beside no other
@@ -93,20 +94,20 @@
     /// gate, which all nodes choose alike, and beside no other suspect.
     Trial,
     /// Not to be run.
-    Held,
+    Quarantined,
   };
 
-  struct Verdict {
-    Standing What = Standing::Free;
+  struct Decision {
+    Status RequestStatus = Status::Free;
     /// Until a trial; only where it is held.
-    Millis ComeBack{0};
+    Millis RetryAfter{0};
   };
 
   /// What ran at an upstream when it crashed.
-  struct Ran {
-    Fingerprint Of;
+  struct RunningRequest {
+    Fingerprint RequestFingerprint;
     /// For operators.
-    std::string Request;
+    std::string Description;
   };
 
   /// A crash under which a request ran.
@@ -114,97 +115,100 @@
     uint64_t Id = 0;
     TimePoint At;
     /// No other suspect ran there.
-    bool Alone = false;
+    bool OnlySuspect = false;
     /// The request was answered since, or released: it does not count.
     bool Cleared = false;
     /// Hash of the upstream's service. An answer of another service, on a split
     /// route, says nothing about this crash.
-    uint64_t Service = 0;
+    uint64_t ServiceHash = 0;
   };
 
   struct Record {
-    Fingerprint Of;
-    std::string Request;
+    Fingerprint RequestFingerprint;
+    std::string Description;
     /// The oldest first.
     std::vector<Crash> Crashes;
 
     /// Those that count.
-    std::vector<Crash> counting() const;
+    std::vector<Crash> activeCrashes() const;
   };
 
   /// A change of what is believed, for the audit trail.
   struct Event {
     /// "request-held", "request-cleared".
-    const char *What = "";
-    const Record *Of = nullptr;
+    const char *Name = "";
+    const Record *AffectedRecord = nullptr;
     std::string Source;
-    Millis For{0};
+    Millis Term{0};
   };
 
   struct Hooks {
     /// Tells these records to all neighbours but the one on a link.
     std::function<void(const wire::SpreadFrameT &,
                        std::optional<uint64_t> ButLink)>
-        Tell = [](const wire::SpreadFrameT &, std::optional<uint64_t>) {};
-    std::function<void(const Event &, TimePoint)> Changed = [](const Event &,
-                                                               TimePoint) {};
+        SendRecords =
+            [](const wire::SpreadFrameT &, std::optional<uint64_t>) {};
+    std::function<void(const Event &, TimePoint)> StatusChanged =
+        [](const Event &, TimePoint) {};
   };
 
   struct Counters {
     /// Crashes of this node's own upstream under runs.
     uint64_t Crashes = 0;
     /// Requests that came to be held, and that were cleared after that.
-    uint64_t Held = 0;
+    uint64_t Quarantined = 0;
     uint64_t Released = 0;
   };
 
   Quarantine(Options Opts, Hooks Hooks);
 
-  Verdict judge(const Fingerprint &Of, TimePoint Now) const;
+  Decision check(const Fingerprint &Of, TimePoint Now) const;
   /// This node's upstream crashed while these ran. All of them are suspects
   /// now; the only one that was before is to blame by itself.
-  void upstreamCrashed(const std::vector<Ran> &Running, TimePoint Now);
+  void upstreamCrashed(const std::vector<RunningRequest> &Running,
+                       TimePoint Now);
   /// A run of it ended with an answer here, so it does not crash what runs it.
-  void answered(const Fingerprint &Of, TimePoint Now);
+  void requestAnswered(const Fingerprint &Of, TimePoint Now);
   /// An operator takes it out. False if nothing is known of it.
   bool release(const Fingerprint &Of, TimePoint Now);
 
   /// All that a new neighbour is to know; nothing where nothing is known.
-  std::optional<wire::SpreadFrameT> all(TimePoint Now) const;
+  std::optional<wire::SpreadFrameT> snapshot(TimePoint Now) const;
   /// What a neighbour knows. News are passed on to the others.
   void receive(uint64_t Link, const wire::QuarantineT &Said, TimePoint Now);
   void tick(TimePoint Now);
 
-  const std::map<Fingerprint, Record> &records() const { return this->Known; }
-  Verdict standing(const Record &Of, TimePoint Now) const;
+  const std::map<Fingerprint, Record> &records() const { return this->Records; }
+  Decision evaluate(const Record &Of, TimePoint Now) const;
   const Counters &counters() const { return this->Counts; }
 
 private:
-  bool isConvicted(const std::vector<Crash> &By) const;
-  Millis termOf(size_t Crashes) const;
-  bool isOver(const Record &Of, TimePoint Now) const;
+  bool meetsThreshold(const std::vector<Crash> &By) const;
+  Millis quarantineTerm(size_t Crashes) const;
+  bool isExpired(const Record &Of, TimePoint Now) const;
   bool merge(const Record &Said, TimePoint Now, const std::string &Source);
-  bool clear(const Fingerprint &Of, std::optional<uint64_t> OfService,
-             const std::string &Source, TimePoint Now);
-  void tellOf(const std::vector<Fingerprint> &Which,
-              std::optional<uint64_t> ButLink, TimePoint Now);
-  void bound();
+  bool clearCrashes(const Fingerprint &Of, std::optional<uint64_t> OfService,
+                    const std::string &Source, TimePoint Now);
+  void sendRecords(const std::vector<Fingerprint> &Which,
+                   std::optional<uint64_t> ButLink, TimePoint Now);
+  void enforceLimit();
 
   Options Opts;
   Hooks Hook;
-  std::map<Fingerprint, Record> Known;
-  uint64_t LastCrash = 0;
+  std::map<Fingerprint, Record> Records;
+  uint64_t LastCrashNumber = 0;
   Counters Counts;
 };
 
-const char *standingName(Quarantine::Standing Of);
+const char *statusName(Quarantine::Status Of);
 
 /// Records as they go over a link, with times as ages, and back. What is out of
 /// bounds is cut or left out.
-wire::SpreadFrameT toFrame(const std::vector<const Quarantine::Record *> &Which,
-                           TimePoint Now);
-std::vector<Quarantine::Record> fromFrame(const wire::QuarantineT &Said,
-                                          TimePoint Now);
+wire::SpreadFrameT
+encodeRecords(const std::vector<const Quarantine::Record *> &Which,
+              TimePoint Now);
+std::vector<Quarantine::Record> decodeRecords(const wire::QuarantineT &Said,
+                                              TimePoint Now);
 
 } // namespace hickorylift
 
--- a/src/quarantine/QuarantineTest.cpp
+++ b/src/quarantine/QuarantineTest.cpp
@@ -14,7 +14,7 @@
 
 namespace data = boost::unit_test::data;
 
-using Standing = Quarantine::Standing;
+using Status = Quarantine::Status;
 
 const TimePoint Start = TimePoint(std::chrono::hours(100));
 
@@ -29,7 +29,7 @@
 }
 
 Fingerprint printOf(const RequestHead &Head, const std::string &Body = "body") {
-  return fingerprintOf(Head, findHeader(Head.Headers, "Customer"), Body);
+  return computeFingerprint(Head, findHeader(Head.Headers, "Customer"), Body);
 }
 
 struct PrintRow {
@@ -110,12 +110,12 @@
                 Quarantine::Options Opts = Quarantine::Options()) {
     Opts.Self = Name;
     Quarantine::Hooks Hooks;
-    Hooks.Tell = [this](const wire::SpreadFrameT &Frame,
-                        std::optional<uint64_t>) {
+    Hooks.SendRecords = [this](const wire::SpreadFrameT &Frame,
+                               std::optional<uint64_t>) {
       this->Sent.push_back(Frame);
     };
-    Hooks.Changed = [this](const Quarantine::Event &One, TimePoint) {
-      this->Events.push_back(One.What);
+    Hooks.StatusChanged = [this](const Quarantine::Event &One, TimePoint) {
+      this->Events.push_back(One.Name);
     };
     this->Of = std::make_unique<Quarantine>(Opts, Hooks);
   }
@@ -123,13 +123,13 @@
   static Fingerprint print(char Name) { return {static_cast<uint64_t>(Name)}; }
 
   void crash(const std::string &Names, TimePoint Now) {
-    std::vector<Quarantine::Ran> Running;
+    std::vector<Quarantine::RunningRequest> Running;
     for (char Name : Names)
       Running.push_back({print(Name), std::string("GET /") + Name});
     this->Of->upstreamCrashed(Running, Now);
   }
-  Standing standing(char Name, TimePoint Now) const {
-    return this->Of->judge(print(Name), Now).What;
+  Status standing(char Name, TimePoint Now) const {
+    return this->Of->check(print(Name), Now).RequestStatus;
   }
   void hear(const wire::SpreadFrameT &Frame, TimePoint Now) {
     this->Of->receive(1, *Frame.payload.AsQuarantine(), Now);
@@ -140,8 +140,8 @@
   const char *What;
   // "crash:pq", "answer:p", "release:p" and "wait:SECONDS".
   const char *Steps;
-  Standing OfP;
-  Standing OfQ;
+  Status OfP;
+  Status OfQ;
 };
 
 std::ostream &operator<<(std::ostream &Out, const StandingRow &Row) {
@@ -149,46 +149,44 @@
 }
 
 const std::vector<StandingRow> StandingRows = {
-    {"nothing has happened", "", Standing::Free, Standing::Free},
-    {"all that ran are suspects", "crash:pq", Standing::Suspect,
-     Standing::Suspect},
-    {"an answer clears", "crash:pq answer:q", Standing::Suspect,
-     Standing::Free},
-    {"two crashes leave one try", "crash:pq answer:q crash:p", Standing::Trial,
-     Standing::Free},
-    {"three hold it", "crash:pq answer:q crash:p crash:p", Standing::Held,
-     Standing::Free},
+    {"nothing has happened", "", Status::Free, Status::Free},
+    {"all that ran are suspects", "crash:pq", Status::Suspect, Status::Suspect},
+    {"an answer clears", "crash:pq answer:q", Status::Suspect, Status::Free},
+    {"two crashes leave one try", "crash:pq answer:q crash:p", Status::Trial,
+     Status::Free},
+    {"three hold it", "crash:pq answer:q crash:p crash:p", Status::Quarantined,
+     Status::Free},
     {"the only suspect among others is to blame",
-     "crash:pq answer:q crash:pq crash:p", Standing::Held, Standing::Suspect},
+     "crash:pq answer:q crash:pq crash:p", Status::Quarantined,
+     Status::Suspect},
     {"two that always ran together are both tried and not held",
-     "crash:pq crash:pq crash:pq", Standing::Trial, Standing::Trial},
+     "crash:pq crash:pq crash:pq", Status::Trial, Status::Trial},
     {"until one of them runs alone", "crash:pq crash:pq crash:pq crash:p",
-     Standing::Held, Standing::Trial},
+     Status::Quarantined, Status::Trial},
     {"an answer between crashes starts anew",
-     "crash:p crash:p answer:p crash:p", Standing::Suspect, Standing::Free},
-    {"a suspicion ends", "crash:pq wait:601", Standing::Free, Standing::Free},
+     "crash:p crash:p answer:p crash:p", Status::Suspect, Status::Free},
+    {"a suspicion ends", "crash:pq wait:601", Status::Free, Status::Free},
     {"a second crash keeps it", "crash:p wait:500 crash:p wait:500",
-     Standing::Trial, Standing::Free},
+     Status::Trial, Status::Free},
     {"it is held for its term", "crash:p crash:p crash:p wait:599",
-     Standing::Held, Standing::Free},
-    {"and then tried", "crash:p crash:p crash:p wait:601", Standing::Trial,
-     Standing::Free},
+     Status::Quarantined, Status::Free},
+    {"and then tried", "crash:p crash:p crash:p wait:601", Status::Trial,
+     Status::Free},
     {"a trial that crashes holds it for twice as long",
-     "crash:p crash:p crash:p wait:601 crash:p wait:1199", Standing::Held,
-     Standing::Free},
+     "crash:p crash:p crash:p wait:601 crash:p wait:1199", Status::Quarantined,
+     Status::Free},
     {"and then it is tried again",
-     "crash:p crash:p crash:p wait:601 crash:p wait:1201", Standing::Trial,
-     Standing::Free},
+     "crash:p crash:p crash:p wait:601 crash:p wait:1201", Status::Trial,
+     Status::Free},
     {"a trial that ends well releases it",
-     "crash:p crash:p crash:p wait:601 answer:p", Standing::Free,
-     Standing::Free},
+     "crash:p crash:p crash:p wait:601 answer:p", Status::Free, Status::Free},
     {"an operator releases it", "crash:p crash:p crash:p release:p",
-     Standing::Free, Standing::Free},
+     Status::Free, Status::Free},
     {"who was released is held for new crashes only",
-     "crash:p crash:p crash:p release:p crash:p crash:p", Standing::Trial,
-     Standing::Free},
+     "crash:p crash:p crash:p release:p crash:p crash:p", Status::Trial,
+     Status::Free},
     {"nobody has sent it for long", "crash:p crash:p crash:p wait:1201",
-     Standing::Free, Standing::Free},
+     Status::Free, Status::Free},
 };
 
 void play(Node &At, const std::string &Steps, TimePoint &Now) {
@@ -200,7 +198,7 @@
     if (What == "crash")
       At.crash(Of, Now);
     else if (What == "answer")
-      At.Of->answered(Node::print(Of[0]), Now);
+      At.Of->requestAnswered(Node::print(Of[0]), Now);
     else if (What == "release")
       BOOST_TEST(At.Of->release(Node::print(Of[0]), Now));
     else
@@ -212,8 +210,8 @@
 } // namespace
 
 // So that a failed check names what it found.
-std::ostream &operator<<(std::ostream &Out, Quarantine::Standing Of) {
-  return Out << standingName(Of);
+std::ostream &operator<<(std::ostream &Out, Quarantine::Status Of) {
+  return Out << statusName(Of);
 }
 
 BOOST_AUTO_TEST_SUITE(QuarantineDecisions)
@@ -242,9 +240,9 @@
   Node At("a");
   for (int I = 0; I < 3; ++I)
     At.crash("p", Start);
-  Quarantine::Verdict Said =
-      At.Of->judge(Node::print('p'), Start + std::chrono::seconds(60));
-  BOOST_TEST(Said.ComeBack.count() == 540000);
+  Quarantine::Decision Said =
+      At.Of->check(Node::print('p'), Start + std::chrono::seconds(60));
+  BOOST_TEST(Said.RetryAfter.count() == 540000);
   BOOST_TEST(At.Events.size() == 1u);
   BOOST_TEST(At.Events.front() == "request-held");
 }
@@ -261,7 +259,7 @@
   All[0]->crash("pq", Now);
   All[1]->crash("pr", Now);
   All[2]->crash("p", Now);
-  All[3]->Of->answered(Node::print('q'), Now);
+  All[3]->Of->requestAnswered(Node::print('q'), Now);
   std::vector<wire::SpreadFrameT> Under;
   for (auto &One : All)
     for (wire::SpreadFrameT &Frame : std::exchange(One->Sent, {}))
@@ -273,7 +271,7 @@
         One->hear(Frame, Now);
     }
   for (auto &One : All)
-    BOOST_TEST(One->standing('p', Now) == Standing::Held);
+    BOOST_TEST(One->standing('p', Now) == Status::Quarantined);
 }
 
 /// Five nodes, each linked to all others, with news that take their time.
@@ -317,7 +315,7 @@
   for (int I = 0; I < 40; ++I) {
     Node &At = *Of.All[Of.Random() % Of.All.size()];
     Of.Random() % 2 ? At.crash("pq", Now)
-                    : At.Of->answered(Node::print('p'), Now);
+                    : At.Of->requestAnswered(Node::print('p'), Now);
     Of.collect(Now);
     Now += Millis(Of.Random() % 10);
     Of.runTo(Now);
@@ -345,13 +343,13 @@
     A.crash("p", Start + Millis(10 * I));
     for (wire::SpreadFrameT &Frame : std::exchange(A.Sent, {}))
       B.hear(Frame, Start + Millis(10 * I + 1));
-    B.Of->answered(Node::print('p'), Start + Millis(10 * I + 2));
+    B.Of->requestAnswered(Node::print('p'), Start + Millis(10 * I + 2));
   }
   TimePoint Now = Start + Millis(50);
-  BOOST_TEST(A.standing('p', Now) == Standing::Held);
-  BOOST_TEST(B.standing('p', Now) == Standing::Held);
-  A.Of->answered(Node::print('p'), Now);
-  BOOST_TEST(A.standing('p', Now) == Standing::Free);
+  BOOST_TEST(A.standing('p', Now) == Status::Quarantined);
+  BOOST_TEST(B.standing('p', Now) == Status::Quarantined);
+  A.Of->requestAnswered(Node::print('p'), Now);
+  BOOST_TEST(A.standing('p', Now) == Status::Free);
 }
 
 // What is news is passed on, and nothing else: records go along every link of a
@@ -372,14 +370,14 @@
 // first neighbour tells it, or its callers would crash three more.
 BOOST_AUTO_TEST_CASE(ANewNeighbourIsToldAll) {
   Node A("a"), B("b");
-  BOOST_TEST(!A.Of->all(Start));
+  BOOST_TEST(!A.Of->snapshot(Start));
   for (int I = 0; I < 3; ++I)
     A.crash("p", Start);
   TimePoint Later = Start + std::chrono::seconds(100);
-  std::optional<wire::SpreadFrameT> All = A.Of->all(Later);
+  std::optional<wire::SpreadFrameT> All = A.Of->snapshot(Later);
   BOOST_REQUIRE(All);
   B.hear(*All, Later);
-  BOOST_TEST(B.Of->judge(Node::print('p'), Later).ComeBack.count() == 500000);
+  BOOST_TEST(B.Of->check(Node::print('p'), Later).RetryAfter.count() == 500000);
 }
 
 // An operator has released a request while a node was cut off. When that one
@@ -389,15 +387,15 @@
   Node A("a"), B("b");
   for (int I = 0; I < 3; ++I)
     A.crash("p", Start);
-  B.hear(*A.Of->all(Start), Start);
+  B.hear(*A.Of->snapshot(Start), Start);
   TimePoint Now = Start + std::chrono::seconds(10);
   BOOST_TEST(A.Of->release(Node::print('p'), Now));
   Now += std::chrono::seconds(300);
   A.Of->tick(Now);
-  A.hear(*B.Of->all(Now), Now);
-  BOOST_TEST(A.standing('p', Now) == Standing::Free);
-  B.hear(*A.Of->all(Now), Now);
-  BOOST_TEST(B.standing('p', Now) == Standing::Free);
+  A.hear(*B.Of->snapshot(Now), Now);
+  BOOST_TEST(A.standing('p', Now) == Status::Free);
+  B.hear(*A.Of->snapshot(Now), Now);
+  BOOST_TEST(B.standing('p', Now) == Status::Free);
   BOOST_TEST(!A.Of->release(Node::print('x'), Now));
 }
 
@@ -405,14 +403,14 @@
 // bounded, and what is held is kept in preference to what merely ran beside.
 BOOST_AUTO_TEST_CASE(InventedRequestsAreBounded) {
   Quarantine::Options Opts;
-  Opts.MaxRequests = 100;
+  Opts.MaxRecords = 100;
   Node At("a", Opts);
   for (int I = 0; I < 3; ++I)
     At.crash("p", Start);
   for (uint64_t I = 1000; I < 6000; ++I)
     At.Of->upstreamCrashed({{{I}, "GET /x"}}, Start + Millis(I));
   BOOST_TEST(At.Of->records().size() == 100u);
-  BOOST_TEST(At.standing('p', Start + Millis(6000)) == Standing::Held);
+  BOOST_TEST(At.standing('p', Start + Millis(6000)) == Status::Quarantined);
 }
 
 // A peer sends rubbish: a text without end, crashes without end, an age beyond
@@ -426,9 +424,9 @@
     One->crashes.emplace_back(I, UINT32_MAX, true, false, 7);
   Said.records.push_back(std::move(One));
   Said.records.push_back(nullptr);
-  std::vector<Quarantine::Record> Read = fromFrame(Said, Start);
+  std::vector<Quarantine::Record> Read = decodeRecords(Said, Start);
   BOOST_REQUIRE(Read.size() == 1u);
-  BOOST_TEST(Read[0].Request.size() < 1000u);
+  BOOST_TEST(Read[0].Description.size() < 1000u);
   BOOST_TEST(Read[0].Crashes.size() < 100u);
   Node At("a");
   At.Of->receive(1, Said, Start);
@@ -442,7 +440,7 @@
   Node At("a", Opts);
   for (int I = 0; I < 3; ++I)
     At.crash("p", Start);
-  BOOST_TEST(At.standing('p', Start) == Standing::Free);
+  BOOST_TEST(At.standing('p', Start) == Status::Free);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/settings/Settings.cpp
+++ b/src/settings/Settings.cpp
@@ -240,7 +240,7 @@
 
   void readKeys(JsonObject &Top) {
     JsonObject Keys = this->section(Top, "keys");
-    KeyJudge::Options &To = this->Out.Core.CallGate.Keys;
+    IdempotencyChecker::Options &To = this->Out.Core.CallGate.Keys;
     To.MaxListAge =
         Keys.millis("max_list_age_ms", To.MaxListAge.count(), 1000, MaxMs);
     To.MaxKeys =
@@ -266,23 +266,23 @@
                     Section.integer(Key, Seconds, 1, LongestQuarantineS));
     };
     To.Enabled = Section.boolean("enabled", To.Enabled);
-    To.Crashes = static_cast<uint32_t>(
-        Section.integer("crashes", To.Crashes, 1, MostCrashes));
-    To.Term = Length("term_s", To.Term);
-    To.LongestTerm = Length("longest_term_s", To.LongestTerm);
-    To.SuspectFor = Length("suspect_for_s", To.SuspectFor);
-    To.MaxRequests = static_cast<size_t>(Section.integer(
-        "max_requests", static_cast<int64_t>(To.MaxRequests), 1, 100000));
-    if (To.LongestTerm < To.Term)
+    To.CrashThreshold = static_cast<uint32_t>(
+        Section.integer("crashes", To.CrashThreshold, 1, MostCrashes));
+    To.InitialTerm = Length("term_s", To.InitialTerm);
+    To.MaxTerm = Length("longest_term_s", To.MaxTerm);
+    To.SuspectTerm = Length("suspect_for_s", To.SuspectTerm);
+    To.MaxRecords = static_cast<size_t>(Section.integer(
+        "max_requests", static_cast<int64_t>(To.MaxRecords), 1, 100000));
+    if (To.MaxTerm < To.InitialTerm)
       Section.fault("longest_term_s", "expected at least term_s");
     Section.finish();
   }
 
   void readColdStart(JsonObject &Top) {
     JsonObject Section = this->section(Top, "cold_start");
-    ColdStart::Options &To = this->Out.Core.CallGate.Slots.Cold;
-    To.Overrun = Section.number("overrun", To.Overrun, 1, MostOverrun);
-    To.Slack = Section.number("slack", To.Slack, 0, MostSlack);
+    ColdStartLimiter::Options &To = this->Out.Core.CallGate.Slots.ColdStartOpts;
+    To.RateFactor = Section.number("overrun", To.RateFactor, 1, MostOverrun);
+    To.ExtraCalls = Section.number("slack", To.ExtraCalls, 0, MostSlack);
     Section.finish();
   }
 
