--- a/src/gate/Admission.cpp
+++ b/src/gate/Admission.cpp
@@ -3,30 +3,32 @@
 #include <algorithm>
 #include <cmath>
 
-// A call runs at once while a slot is free, waits while its turn is expected to
-// come in time, and is refused at once otherwise. Nothing is kept waiting that
-// cannot be answered: a call which would end after its deadline uses a slot
-// that another could have used, and under an overload that lasts such calls are
-// soon the only ones that run.
+// A call runs at once while a slot is free. It waits if a slot is expected to
+// become free in time, and is refused at once otherwise. A call that can't be
+// answered in time isn't kept waiting: a call that ends after its deadline uses
+// a slot that another call could have used, and under a lasting overload such
+// calls would soon be the only ones that run.
 //
-// The same holds for the target, after which an answer is worth less. One queue
-// in order of arrival, under an overload, makes every call a little too late.
-// So a call waits only while it can still meet its target; one that cannot runs
-// if a slot is free when it comes, and is told when to come back otherwise. A
-// few late calls that waited behind the others took slots from calls that came
-// in time (docs/design/deciding-under-load.md has what that cost callers).
+// The same holds for the target, after which an answer is worth less. A single
+// queue in order of arrival makes every call a little too late under overload.
+// So a call waits only while it can still meet its target. A call that can't
+// runs if a slot is free when it arrives, and is otherwise refused with a retry
+// delay: a few late calls that waited behind the others took slots from calls
+// that were in time (docs/design/deciding-under-load.md has what that cost
+// callers).
 //
-// Among those that wait, the one that must start first goes first: its target
-// less its run. In order of the targets alone, calls of a short route would go
-// ahead of those of a long one until these could not meet theirs any more (at
-// 1.5 times the capacity callers of the long route had 6 in 1,000 served, and
-// 936 so). Where room is short for calls that runs elsewhere cannot do without,
-// the calls of some nodes stand a little behind, see TurnRank.
+// Among the waiting calls, the one with the earliest latest start (its target
+// less its run time) goes first. In order of the targets alone, the calls of a
+// short route would overtake those of a long route until these could no longer
+// meet their targets: at 1.5 times the capacity, 6 in 1,000 calls of the long
+// route were served, and 936 in 1,000 with this order. When capacity is short,
+// a run that makes several calls is lost when any of them is refused, so calls
+// from some nodes are put slightly behind others, see TurnRank.
 //
 // The number of slots is the configured one, lowered while the upstream warms
-// up and while it sheds. A shed lowers it at once by a factor and each answer
-// raises it by a little, as TCP does with its window: the upstream knows its
-// state better than its published load does.
+// up and while it sheds. A shed multiplies it by a factor below one, and each
+// answer raises it a little, as TCP does with its congestion window: the
+// upstream knows its state better than its published load shows.
 
 namespace hickorylift {
 
@@ -36,43 +38,46 @@
 
 } // namespace
 
-void Admission::configure(const Service &New, TimePoint Now) {
+void Admission::configure(const Service &Config, TimePoint Now) {
   if (!this->Configured) {
     this->WarmupStart = Now;
-    this->SlotWindow = New.Slots;
-  } else if (New.Slots != this->ServiceConfig.Slots) {
-    this->SlotWindow = New.Slots;
+    this->SlotWindow = Config.Slots;
+  } else if (Config.Slots != this->ServiceConfig.Slots) {
+    this->SlotWindow = Config.Slots;
   }
   this->Configured = true;
-  this->ServiceConfig = New;
-  bool Spares = this->Opts.Guards.SpareCold;
-  this->ColdLimiter.configure(Spares ? New.ColdPerSecond : 0, New.Warmup, Now);
+  this->ServiceConfig = Config;
+  bool LimitsCold = this->Opts.Guards.SpareCold;
+  this->ColdLimiter.configure(LimitsCold ? Config.ColdPerSecond : 0,
+                              Config.Warmup, Now);
 }
 
 size_t Admission::openSlots(TimePoint Now) const {
   double Open = std::min<double>(this->SlotWindow, this->ServiceConfig.Slots);
-  Clock::duration Warm = Now - this->WarmupStart;
-  // Where the service states what a cold upstream bears, that is the bound.
-  if (Warm < this->ServiceConfig.Warmup &&
+  Clock::duration SinceStart = Now - this->WarmupStart;
+  // If the service states the call rate that a cold upstream bears, that rate
+  // is the only limit while it is cold.
+  if (SinceStart < this->ServiceConfig.Warmup &&
       this->ServiceConfig.ColdPerSecond == 0)
     Open = std::min(
-        Open, this->ServiceConfig.Slots * std::chrono::duration<double>(Warm) /
+        Open, this->ServiceConfig.Slots *
+                  std::chrono::duration<double>(SinceStart) /
                   std::chrono::duration<double>(this->ServiceConfig.Warmup));
   return std::max<size_t>(1, static_cast<size_t>(Open));
 }
 
 Admission::Result Admission::refuse(const std::string &Reason,
                                     Millis RetryAfter, unsigned Status) {
-  Refusal Why;
-  Why.Reason = Reason;
-  Why.Step = "admission";
-  Why.RetryAfter = RetryAfter;
-  Why.Status = Status;
-  return {Decision::Refuse, Why};
+  Refusal Details;
+  Details.Reason = Reason;
+  Details.Step = "admission";
+  Details.RetryAfter = RetryAfter;
+  Details.Status = Status;
+  return {Decision::Refuse, Details};
 }
 
-// Spread over as much again, so that those refused together do not all return
-// together.
+// The delay is spread at random over up to twice its length, so that calls that
+// were refused together don't all return together.
 Millis Admission::retryAfter(Clock::duration Wait) {
   Millis Base = std::clamp(toMillis(Wait), this->Opts.MinRetryAfter,
                            this->Opts.MaxRetryAfter);
@@ -80,16 +85,17 @@
 }
 
 Clock::duration Admission::expectedWait(size_t Ahead, TimePoint Now) {
-  Clock::duration Mean = this->MeanRunTime.value_or(this->Opts.InitialLatency);
-  Clock::duration ForSlot = Mean * static_cast<int64_t>(Ahead + 1) /
+  Clock::duration MeanRun =
+      this->MeanRunTime.value_or(this->Opts.InitialLatency);
+  Clock::duration ForSlot = MeanRun * static_cast<int64_t>(Ahead + 1) /
                             static_cast<int64_t>(this->openSlots(Now));
   if (!this->ColdLimiter.isCold(Now))
     return ForSlot;
-  auto Between = std::chrono::duration_cast<Clock::duration>(
+  auto CallInterval = std::chrono::duration_cast<Clock::duration>(
       std::chrono::duration<double>(1 / this->ColdLimiter.allowedRate()));
-  Clock::duration ForRoom = this->ColdLimiter.timeUntilCapacity(Now) +
-                            Between * static_cast<int64_t>(Ahead);
-  return std::max(ForSlot, ForRoom);
+  Clock::duration ForCapacity = this->ColdLimiter.timeUntilCapacity(Now) +
+                                CallInterval * static_cast<int64_t>(Ahead);
+  return std::max(ForSlot, ForCapacity);
 }
 
 Clock::duration Admission::expectedRunTime(const std::string &Kind) const {
@@ -99,59 +105,60 @@
   return this->MeanRunTime.value_or(Clock::duration::zero());
 }
 
-bool Admission::canMeetDeadline(const Request &One, TimePoint Now) const {
+bool Admission::canMeetDeadline(const Request &Call, TimePoint Now) const {
   auto Needed = std::chrono::duration_cast<Clock::duration>(
-      this->expectedRunTime(One.Kind) * this->Opts.MinRunTimeShare);
-  return Now < One.Deadline && One.Deadline - Now >= Needed;
+      this->expectedRunTime(Call.Kind) * this->Opts.MinRunTimeShare);
+  return Now < Call.Deadline && Call.Deadline - Now >= Needed;
 }
 
-// A call that starts later is expected to miss its target.
-TimePoint Admission::latestStart(const Request &One) const {
-  TimePoint Goal = std::min(One.Target, One.Deadline);
-  auto Run = std::chrono::duration_cast<Clock::duration>(
-      this->expectedRunTime(One.Kind) * this->Opts.TargetMargin);
-  return Goal - Run;
+// A call that starts after the returned time is expected to miss its target.
+TimePoint Admission::latestStart(const Request &Call) const {
+  TimePoint AnswerBy = std::min(Call.Target, Call.Deadline);
+  auto RunTime = std::chrono::duration_cast<Clock::duration>(
+      this->expectedRunTime(Call.Kind) * this->Opts.TargetMargin);
+  return AnswerBy - RunTime;
 }
 
-Admission::QueueKey Admission::queueKey(const Request &One) const {
-  TimePoint By =
-      this->latestStart(One) + this->Opts.RankSpread * One.Rank / UINT8_MAX;
-  return {One.Priority, By, One.Id};
+Admission::QueueKey Admission::queueKey(const Request &Call) const {
+  TimePoint StartBy =
+      this->latestStart(Call) + this->Opts.RankSpread * Call.Rank / UINT8_MAX;
+  return {Call.Priority, StartBy, Call.Id};
 }
 
-bool Admission::canMeetTarget(const Request &One, Clock::duration Wait,
+bool Admission::canMeetTarget(const Request &Call, Clock::duration Wait,
                               TimePoint Now) const {
-  return Now + Wait <= this->latestStart(One);
+  return Now + Wait <= this->latestStart(Call);
 }
 
-std::string Admission::limitKey(const Request &One) const {
-  if (!One.RouteLimit)
+std::string Admission::limitKey(const Request &Call) const {
+  if (!Call.RouteLimit)
     return "";
-  bool OwnClass = One.RouteLimit->ByClass.count(One.CallerClass) != 0;
-  return One.RouteLimit->Name + "/" + (OwnClass ? One.CallerClass : "");
+  bool HasClassLimit = Call.RouteLimit->ByClass.count(Call.CallerClass) != 0;
+  return Call.RouteLimit->Name + "/" + (HasClassLimit ? Call.CallerClass : "");
 }
 
-std::optional<Admission::Result> Admission::checkLimit(const Request &One,
+std::optional<Admission::Result> Admission::checkLimit(const Request &Call,
                                                        const std::string &Key,
                                                        TimePoint Now) {
   if (Key.empty())
     return std::nullopt;
-  auto Class = One.RouteLimit->ByClass.find(One.CallerClass);
-  const CallerLimit &Bound = Class == One.RouteLimit->ByClass.end()
-                                 ? One.RouteLimit->All
-                                 : Class->second;
-  auto [Found, New] = this->Limits.try_emplace(
-      Key, LimitState{TokenBucket(Bound.RatePerSecond, Bound.Burst), Bound});
+  auto ClassLimit = Call.RouteLimit->ByClass.find(Call.CallerClass);
+  const CallerLimit &Configured = ClassLimit == Call.RouteLimit->ByClass.end()
+                                      ? Call.RouteLimit->All
+                                      : ClassLimit->second;
+  auto [Found, Inserted] = this->Limits.try_emplace(
+      Key, LimitState{TokenBucket(Configured.RatePerSecond, Configured.Burst),
+                      Configured});
   LimitState &State = Found->second;
-  // A new version may have other figures under the same name.
-  if (!New && State.Configured != Bound)
-    State.RateBucket = TokenBucket(Bound.RatePerSecond, Bound.Burst);
-  State.Configured = Bound;
-  if (Bound.Concurrency && State.Running >= Bound.Concurrency)
+  // A new configuration version may have other limits under the same name.
+  if (!Inserted && State.Configured != Configured)
+    State.RateBucket = TokenBucket(Configured.RatePerSecond, Configured.Burst);
+  State.Configured = Configured;
+  if (Configured.Concurrency && State.Running >= Configured.Concurrency)
     return this->refuse("concurrency-limit",
                         this->retryAfter(this->expectedWait(0, Now)),
                         TooManyRequests);
-  if (Bound.RatePerSecond > 0 && !State.RateBucket.take(Now))
+  if (Configured.RatePerSecond > 0 && !State.RateBucket.take(Now))
     return this->refuse("rate-limit", State.RateBucket.wait(), TooManyRequests);
   ++State.Running;
   return std::nullopt;
@@ -163,23 +170,23 @@
     --Found->second.Running;
 }
 
-bool Admission::canQueue(const Request &One, TimePoint Now) {
+bool Admission::canQueue(const Request &Call, TimePoint Now) {
   auto Ahead = static_cast<size_t>(std::distance(
-      this->Queue.begin(), this->Queue.lower_bound(this->queueKey(One))));
+      this->Queue.begin(), this->Queue.lower_bound(this->queueKey(Call))));
   if (Ahead >= this->ServiceConfig.QueueLimit)
     return false;
   if (!this->Opts.Guards.DropLate)
     return true;
   Clock::duration Wait = this->expectedWait(Ahead, Now);
   return Wait <= this->ServiceConfig.QueueWait &&
-         this->canMeetTarget(One, Wait, Now);
+         this->canMeetTarget(Call, Wait, Now);
 }
 
-void Admission::enqueue(const Request &One, TimePoint Since,
+void Admission::enqueue(const Request &Call, TimePoint QueuedAt,
                         const std::string &LimitKey) {
-  QueueKey Key = this->queueKey(One);
-  this->Queue[Key] = {One, Since, LimitKey};
-  this->QueueKeys[One.Id] = Key;
+  QueueKey Key = this->queueKey(Call);
+  this->Queue[Key] = {Call, QueuedAt, LimitKey};
+  this->QueueKeys[Call.Id] = Key;
 }
 
 bool Admission::canRunNow(TimePoint Now) {
@@ -187,40 +194,41 @@
          this->Queue.empty() && this->ColdLimiter.capacity(Now) > 0;
 }
 
-std::optional<Admission::Result> Admission::wouldRefuse(const Request &One,
+std::optional<Admission::Result> Admission::wouldRefuse(const Request &Call,
                                                         TimePoint Now) {
   if (!this->Configured)
     return this->refuse("no-configuration", this->Opts.MaxRetryAfter / 5);
   if (this->draining())
     return this->refuse("draining", Millis(0));
-  if (Now >= One.Deadline)
+  if (Now >= Call.Deadline)
     return this->refuse("deadline", Millis(0));
-  if (!this->canRunNow(Now) && !this->canQueue(One, Now))
+  if (!this->canRunNow(Now) && !this->canQueue(Call, Now))
     return this->refuse("overload", this->retryAfter(this->expectedWait(
                                         this->Queue.size(), Now)));
   return std::nullopt;
 }
 
-Admission::Result Admission::admit(const Request &One, TimePoint Now) {
-  if (std::optional<Result> Why = this->wouldRefuse(One, Now))
-    return *Why;
-  bool Free = this->canRunNow(Now);
-  std::string Limit = this->limitKey(One);
-  if (std::optional<Result> Over = this->checkLimit(One, Limit, Now))
-    return *Over;
-  if (Free) {
-    this->RunningCalls[One.Id] = {Now, Limit, One.Kind};
+Admission::Result Admission::admit(const Request &Call, TimePoint Now) {
+  if (std::optional<Result> Refused = this->wouldRefuse(Call, Now))
+    return *Refused;
+  bool RunsNow = this->canRunNow(Now);
+  std::string Key = this->limitKey(Call);
+  if (std::optional<Result> LimitExceeded = this->checkLimit(Call, Key, Now))
+    return *LimitExceeded;
+  if (RunsNow) {
+    this->RunningCalls[Call.Id] = {Now, Key, Call.Kind};
     return {};
   }
-  // The limit belongs to a version that may be gone by the time of its turn.
-  Request Kept = One;
-  Kept.RouteLimit = nullptr;
-  this->enqueue(Kept, Now, Limit);
+  // The limit belongs to a configuration version that may no longer exist when
+  // the call leaves the queue.
+  Request Queued = Call;
+  Queued.RouteLimit = nullptr;
+  this->enqueue(Queued, Now, Key);
   return {Decision::Wait, {}};
 }
 
-// A body may have come for long since its call had a slot, so room is looked
-// for once more.
+// Checks the capacity again, because the body of the call may have taken long
+// to arrive since the call got its slot.
 std::optional<Admission::Result> Admission::reserveCapacity(TimePoint Now) {
   if (this->ColdLimiter.capacity(Now) == 0)
     return this->refuse(
@@ -229,30 +237,30 @@
   return std::nullopt;
 }
 
-void Admission::recordRunTime(const RunningCall &Of, TimePoint Now) {
+void Admission::recordRunTime(const RunningCall &Call, TimePoint Now) {
   using Nanos = std::chrono::duration<double, std::nano>;
-  Clock::duration Took = Now - Of.StartedAt;
+  Clock::duration RunTime = Now - Call.StartedAt;
   double Age = std::chrono::duration<double>(Now - this->MeanRunUpdatedAt) /
                std::chrono::duration<double>(this->Opts.LatencyHalfLife);
   double Weight = std::max(this->Opts.LatencyWeight, 1 - std::exp2(-Age));
   this->MeanRunUpdatedAt = Now;
-  auto Blend = [&](Clock::duration Old) {
+  auto Blend = [&](Clock::duration Mean) {
     return std::chrono::duration_cast<Clock::duration>(
-        Nanos(Old) * (1 - Weight) + Nanos(Took) * Weight);
+        Nanos(Mean) * (1 - Weight) + Nanos(RunTime) * Weight);
   };
-  this->MeanRunTime = Blend(this->MeanRunTime.value_or(Took));
-  auto Known = this->RunTimeByKind.find(Of.Kind);
+  this->MeanRunTime = Blend(this->MeanRunTime.value_or(RunTime));
+  auto Known = this->RunTimeByKind.find(Call.Kind);
   if (Known != this->RunTimeByKind.end())
     Known->second = Blend(Known->second);
   else if (this->RunTimeByKind.size() < this->Opts.MaxKinds)
-    this->RunTimeByKind[Of.Kind] = Took;
+    this->RunTimeByKind[Call.Kind] = RunTime;
 }
 
 void Admission::finished(const CallId &Id, bool Answered, TimePoint Now) {
   if (auto Found = this->QueueKeys.find(Id); Found != this->QueueKeys.end()) {
-    auto At = this->Queue.find(Found->second);
-    this->releaseLimit(At->second.LimitKey);
-    this->Queue.erase(At);
+    auto Position = this->Queue.find(Found->second);
+    this->releaseLimit(Position->second.LimitKey);
+    this->Queue.erase(Position);
     this->QueueKeys.erase(Found);
     return;
   }
@@ -270,9 +278,9 @@
 }
 
 void Admission::upstreamShed(TimePoint Now) {
-  double Used = std::min<double>(
+  double SlotsInUse = std::min<double>(
       this->openSlots(Now), static_cast<double>(this->RunningCalls.size()));
-  this->SlotWindow = std::max(1.0, Used * this->Opts.ShedFactor);
+  this->SlotWindow = std::max(1.0, SlotsInUse * this->Opts.ShedFactor);
 }
 
 void Admission::upstreamRestarted(TimePoint Now) {
@@ -283,63 +291,68 @@
 }
 
 std::string Admission::drainReasons() const {
-  std::string Out;
-  for (const std::string &One : this->DrainReasons)
-    Out += (Out.empty() ? "" : ",") + One;
-  return Out;
+  std::string Joined;
+  for (const std::string &Reason : this->DrainReasons)
+    Joined += (Joined.empty() ? "" : ",") + Reason;
+  return Joined;
 }
 
-Admission::QueueMap::iterator Admission::dropQueued(QueueMap::iterator At,
+Admission::QueueMap::iterator Admission::dropQueued(QueueMap::iterator Position,
                                                     const std::string &Reason,
                                                     Millis RetryAfter,
-                                                    QueueUpdate &Out) {
-  Out.ToDrop.push_back(
-      {At->second.Call.Id, this->refuse(Reason, RetryAfter).RefusalDetails});
-  this->releaseLimit(At->second.LimitKey);
-  this->QueueKeys.erase(At->second.Call.Id);
-  return this->Queue.erase(At);
+                                                    QueueUpdate &Update) {
+  Update.ToDrop.push_back({Position->second.Call.Id,
+                           this->refuse(Reason, RetryAfter).RefusalDetails});
+  this->releaseLimit(Position->second.LimitKey);
+  this->QueueKeys.erase(Position->second.Call.Id);
+  return this->Queue.erase(Position);
 }
 
-void Admission::sweepQueue(QueueUpdate &Out, TimePoint Now) {
-  Millis ComeBack =
+void Admission::sweepQueue(QueueUpdate &Update, TimePoint Now) {
+  Millis RetryAfter =
       this->retryAfter(this->expectedWait(this->Queue.size(), Now));
-  for (auto At = this->Queue.begin(); At != this->Queue.end();) {
-    const Request &One = At->second.Call;
+  for (auto Position = this->Queue.begin(); Position != this->Queue.end();) {
+    const Request &Call = Position->second.Call;
     bool DropsLate = this->Opts.Guards.DropLate;
-    bool Long = Now - At->second.QueuedAt > this->ServiceConfig.QueueWait;
-    bool Missed = One.Target < One.Deadline &&
-                  !this->canMeetTarget(One, Clock::duration::zero(), Now);
+    bool WaitedTooLong =
+        Now - Position->second.QueuedAt > this->ServiceConfig.QueueWait;
+    bool MissesTarget =
+        Call.Target < Call.Deadline &&
+        !this->canMeetTarget(Call, Clock::duration::zero(), Now);
     if (this->draining())
-      At = this->dropQueued(At, "draining", Millis(0), Out);
-    else if (DropsLate && !this->canMeetDeadline(One, Now))
-      At = this->dropQueued(At, "deadline", Millis(0), Out);
-    else if (DropsLate && (Long || Missed))
-      At = this->dropQueued(At, "overload", ComeBack, Out);
+      Position = this->dropQueued(Position, "draining", Millis(0), Update);
+    else if (DropsLate && !this->canMeetDeadline(Call, Now))
+      Position = this->dropQueued(Position, "deadline", Millis(0), Update);
+    else if (DropsLate && (WaitedTooLong || MissesTarget))
+      Position = this->dropQueued(Position, "overload", RetryAfter, Update);
     else
-      ++At;
+      ++Position;
   }
 }
 
 Admission::QueueUpdate Admission::advanceQueue(TimePoint Now) {
-  QueueUpdate Out;
-  this->sweepQueue(Out, Now);
-  // A more urgent call may have come in ahead of a full queue: the last go.
-  Millis ComeBack =
+  QueueUpdate Update;
+  this->sweepQueue(Update, Now);
+  // A more urgent call may have been queued ahead of a full queue: the last
+  // calls are dropped.
+  Millis RetryAfter =
       this->retryAfter(this->expectedWait(this->Queue.size(), Now));
   while (this->Queue.size() > this->ServiceConfig.QueueLimit)
-    this->dropQueued(std::prev(this->Queue.end()), "overload", ComeBack, Out);
-  // Those that are returned start after this, one by one.
-  size_t Room = this->ColdLimiter.capacity(Now);
-  while (!this->Queue.empty() && Room > Out.ToRun.size() &&
+    this->dropQueued(std::prev(this->Queue.end()), "overload", RetryAfter,
+                     Update);
+  // The returned calls reserve their capacity only later, one by one, when they
+  // are sent.
+  size_t Capacity = this->ColdLimiter.capacity(Now);
+  while (!this->Queue.empty() && Capacity > Update.ToRun.size() &&
          this->RunningCalls.size() < this->openSlots(Now)) {
     auto First = this->Queue.begin();
     this->RunningCalls[First->second.Call.Id] = {Now, First->second.LimitKey,
                                                  First->second.Call.Kind};
-    Out.ToRun.push_back(First->second.Call.Id);
+    Update.ToRun.push_back(First->second.Call.Id);
     this->QueueKeys.erase(First->second.Call.Id);
     this->Queue.erase(First);
   }
-  return Out;
+  return Update;
 }
 
 wire::Load Admission::load(TimePoint Now) {
@@ -349,9 +362,10 @@
   double Waiting = static_cast<double>(this->waitingCount());
   if (this->ColdLimiter.isCold(Now)) {
     using Seconds = std::chrono::duration<double>;
-    Clock::duration Run = this->MeanRunTime.value_or(this->Opts.InitialLatency);
+    Clock::duration RunTime =
+        this->MeanRunTime.value_or(this->Opts.InitialLatency);
     double Busy =
-        std::ceil(this->ColdLimiter.allowedRate() * Seconds(Run).count());
+        std::ceil(this->ColdLimiter.allowedRate() * Seconds(RunTime).count());
     Slots = std::clamp(Busy, 1.0, Slots);
     Waiting +=
         std::ceil(this->ColdLimiter.allowedRate() *
--- a/src/gate/Admission.h
+++ b/src/gate/Admission.h
@@ -11,52 +11,61 @@
 #include <set>
 #include <vector>
 
-// Admission is the one judge of an upstream's slots. It sees every call for
-// the upstream, so the limits hold without any shared state.
+// Admission decides whether a call may run at an upstream: at once, after
+// waiting in a queue, or not at all. One Admission sees every call for its
+// upstream, so the limits hold without any shared state.
 //
-//   Admission Slots(/*Seed=*/7);
+//   Admission Slots(/*Opts=*/{}, /*Seed=*/7);
 //   Slots.configure(Service, Now);
-//   Admission::Answer A = Slots.ask({Id, Deadline, Priority, Class, Limit},
-//   Now); if (A.What == Admission::Decision::Run) start(Id);
+//   Admission::Result Result =
+//       Slots.admit({Id, Deadline, Priority, CallerClass, Target}, Now);
+//   if (Result.Action == Admission::Decision::Run)
+//     start(Id);
 //   ...
-//   Slots.finished(Id, Now);
-//   for (CallId Next : Slots.next(Now).Run) start(Next);
+//   Slots.finished(Id, /*Answered=*/true, Now);
+//   for (CallId Id : Slots.advanceQueue(Now).ToRun)
+//     start(Id);
 
 namespace hickorylift {
 
 class Admission {
 public:
   struct Options {
-    /// Weight of the newest call in the mean run time: at least this, and more
-    /// the longer ago the last one was, by half for each half-life. An upstream
-    /// that was slow while it was cold is else remembered so for ever: nobody
-    /// sends it the calls that would show otherwise.
+    /// Lowest weight of the newest call in the mean run time. The weight is
+    /// higher the more time has passed since the previous call: the older mean
+    /// loses half of its weight with each half-life. Without this, an upstream
+    /// that was slow while it was cold would be taken for slow for ever,
+    /// because it would get no calls that could show otherwise.
     double LatencyWeight = 0.1;
     Millis LatencyHalfLife{1000};
-    /// Assumed run time before the first call ended.
+    /// Assumed run time until the first call has ended.
     Millis InitialLatency{20};
-    /// A call is dropped when what is left of its deadline is less than this
-    /// share of the mean run time: it would most likely end too late.
+    /// A queued call is dropped when the time left until its deadline is less
+    /// than this share of the mean run time: it would most likely end too late.
     double MinRunTimeShare = 1.0;
-    /// Runs differ: a call counts as one that can meet its target if this many
-    /// times the mean run still fits. One that just fits by the mean may well
-    /// end late, and has then used a slot for less; much more turns calls away
-    /// that would have been in time (docs/design/deciding-under-load.md).
+    /// Run times vary, so a call counts as able to meet its target only if this
+    /// many times the mean run time still fits. A call for which just the mean
+    /// fits may well end late after it has used a slot; a much larger margin
+    /// refuses calls that would have been in time
+    /// (docs/design/deciding-under-load.md).
     double TargetMargin = 1.25;
-    /// How much later a call of the last rank counts as having to start than
-    /// one of the first. As long as the nearest targets asked for: less hardly
-    /// separates calls of one route, more puts those of routes with far targets
-    /// behind (docs/design/deciding-under-load.md).
+    /// How much later the latest start of a call of the last rank is assumed to
+    /// be than that of a call of the first rank. As long as the shortest
+    /// targets that callers ask for: a smaller value hardly separates the calls
+    /// of one route, and a larger one puts calls of routes with long targets
+    /// behind all others (docs/design/deciding-under-load.md).
     Millis RankSpread{120};
-    /// Kinds whose run time is remembered.
+    /// Number of call kinds whose run time is recorded.
     size_t MaxKinds = 1000;
-    /// Slots given up when the upstream sheds, and regained for each answer.
+    /// When the upstream sheds, the slots in use are multiplied by ShedFactor;
+    /// each answer adds IncreasePerAnswer slots again.
     double ShedFactor = 0.7;
     double IncreasePerAnswer = 0.05;
-    /// Bounds of the advice when to come back.
+    /// Bounds of the retry delay that a refused caller is given, before the
+    /// random part is added.
     Millis MinRetryAfter{20};
     Millis MaxRetryAfter{5000};
-    /// Of an upstream that has just started.
+    /// Limits for an upstream that has just started.
     ColdStartLimiter::Options ColdStartOpts;
     Safeguards Guards;
   };
@@ -66,17 +75,19 @@
   struct Request {
     CallId Id;
     TimePoint Deadline;
-    /// 0 is the most urgent.
+    /// 0 is the most urgent priority.
     uint32_t Priority = 4;
     std::string CallerClass;
-    /// An answer after this is worth less to its caller, and none after the
-    /// deadline. Later than the deadline means that only the deadline counts.
+    /// An answer after the target is worth less to the caller, and an answer
+    /// after the deadline is worth nothing. A target later than the deadline
+    /// means that only the deadline counts.
     TimePoint Target = TimePoint::max();
-    /// What calls of about the same length have in common.
+    /// Groups calls that take about the same time; the mean run time is
+    /// recorded for each kind.
     std::string Kind;
-    /// Of the node at which it entered, see TurnRank: 0 stands first.
+    /// Rank of the node at which the call entered, see TurnRank: 0 goes first.
     uint8_t Rank = 0;
-    /// The route's limit; null for none.
+    /// The limit of the call's route; null if it has none.
     const Limit *RouteLimit = nullptr;
   };
 
@@ -98,44 +109,48 @@
   Admission(Options Opts, uint64_t Seed)
       : Opts(Opts), Rng(Seed), ColdLimiter(Opts.ColdStartOpts) {}
 
-  void configure(const Service &Of, TimePoint Now);
-  Result admit(const Request &One, TimePoint Now);
-  /// Why a call would be refused if it were asked for now, its route's limit
-  /// aside; nothing where it would run or wait.
-  std::optional<Result> wouldRefuse(const Request &One, TimePoint Now);
-  /// The call is about to be sent; what it takes of a cold upstream's room is
-  /// given back by coldStart().settled(). An answer means that it must not be:
-  /// the upstream has had what it bears.
+  void configure(const Service &Config, TimePoint Now);
+  Result admit(const Request &Call, TimePoint Now);
+  /// Returns the refusal that the call would get if it were made now, without
+  /// checking its route's limit; nothing if it would run or wait.
+  std::optional<Result> wouldRefuse(const Request &Call, TimePoint Now);
+  /// Reserves capacity for a call that is about to be sent. A cold upstream's
+  /// reservation is returned by coldStart().releaseReservation(). A returned
+  /// result means that the call must not be sent, because the upstream has
+  /// already received all that it can bear.
   std::optional<Result> reserveCapacity(TimePoint Now);
   /// Whether a call that starts after Wait is expected to meet its target.
-  bool canMeetTarget(const Request &One, Clock::duration Wait,
+  bool canMeetTarget(const Request &Call, Clock::duration Wait,
                      TimePoint Now) const;
-  /// Ends a running or a waiting call. Answered is false where the run says
-  /// nothing about the upstream's speed.
+  /// Ends a running or a waiting call. Answered is false if the run says
+  /// nothing about the speed of the upstream.
   void finished(const CallId &Id, bool Answered, TimePoint Now);
-  /// The upstream refused work for overload.
+  /// The upstream refused work because it is overloaded.
   void upstreamShed(TimePoint Now);
-  /// Calls that may start now, and calls that waited in vain.
+  /// Returns the queued calls that may start now and those that are dropped
+  /// from the queue, and updates the queue accordingly.
   QueueUpdate advanceQueue(TimePoint Now);
 
-  /// Another process serves at the upstream's place: what was learnt of the
-  /// last one's speed and room is not true of it.
+  /// A new process has replaced the upstream: the recorded run times and the
+  /// reduced number of slots belonged to the previous one and are reset.
   void upstreamRestarted(TimePoint Now);
 
-  /// Closes the gate to new work for one more reason; waiting calls are dropped
-  /// by the next call of next().
-  void drain(const std::string &By) { this->DrainReasons.insert(By); }
-  /// A reason is gone. The gate is open once none is left.
-  void reopen(const std::string &By) { this->DrainReasons.erase(By); }
+  /// Closes the gate to new work for the given reason. The waiting calls are
+  /// dropped by the next advanceQueue().
+  void drain(const std::string &Reason) { this->DrainReasons.insert(Reason); }
+  /// Removes a reason. The gate is open again when no reason is left.
+  void reopen(const std::string &Reason) { this->DrainReasons.erase(Reason); }
   bool draining() const { return !this->DrainReasons.empty(); }
-  bool isDrainedBy(const std::string &By) const {
-    return this->DrainReasons.count(By) != 0;
+  bool isDrainedBy(const std::string &Reason) const {
+    return this->DrainReasons.count(Reason) != 0;
   }
-  /// The reasons, each after a comma but the first.
+  /// The drain reasons, separated by commas.
   std::string drainReasons() const;
 
-  /// What entries are told: while the upstream is cold, the slots that the rate
-  /// which it bears keeps busy, and the calls that wait for more of it.
+  /// The load that is reported to the entries. While the upstream is cold, its
+  /// slots are the number that the allowed call rate keeps busy, and the
+  /// waiting calls are raised by the calls that would start at that rate in the
+  /// time until there is capacity again.
   wire::Load load(TimePoint Now);
   ColdStartLimiter &coldStart() { return this->ColdLimiter; }
   size_t runningCount() const { return this->RunningCalls.size(); }
@@ -160,8 +175,8 @@
     uint32_t Running = 0;
   };
 
-  // Most urgent first, then whichever must start first, put off by its rank,
-  // then the order of arrival.
+  // Orders calls by priority, then by the latest start that meets the target
+  // (plus a delay for the rank), then by order of arrival.
   using QueueKey = std::tuple<uint32_t, TimePoint, CallId>;
   using QueueMap = std::map<QueueKey, WaitingCall>;
 
@@ -170,30 +185,31 @@
   size_t openSlots(TimePoint Now) const;
   Clock::duration expectedWait(size_t Ahead, TimePoint Now);
   Millis retryAfter(Clock::duration Wait);
-  std::string limitKey(const Request &One) const;
-  std::optional<Result> checkLimit(const Request &One, const std::string &Key,
+  std::string limitKey(const Request &Call) const;
+  std::optional<Result> checkLimit(const Request &Call, const std::string &Key,
                                    TimePoint Now);
   void releaseLimit(const std::string &LimitKey);
   Clock::duration expectedRunTime(const std::string &Kind) const;
-  bool canMeetDeadline(const Request &One, TimePoint Now) const;
-  TimePoint latestStart(const Request &One) const;
-  QueueKey queueKey(const Request &One) const;
+  bool canMeetDeadline(const Request &Call, TimePoint Now) const;
+  TimePoint latestStart(const Request &Call) const;
+  QueueKey queueKey(const Request &Call) const;
   bool canRunNow(TimePoint Now);
-  bool canQueue(const Request &One, TimePoint Now);
-  void enqueue(const Request &One, TimePoint Since,
+  bool canQueue(const Request &Call, TimePoint Now);
+  void enqueue(const Request &Call, TimePoint QueuedAt,
                const std::string &LimitKey);
-  void recordRunTime(const RunningCall &Of, TimePoint Now);
-  QueueMap::iterator dropQueued(QueueMap::iterator At,
+  void recordRunTime(const RunningCall &Call, TimePoint Now);
+  QueueMap::iterator dropQueued(QueueMap::iterator Position,
                                 const std::string &Reason, Millis RetryAfter,
-                                QueueUpdate &Out);
-  void sweepQueue(QueueUpdate &Out, TimePoint Now);
+                                QueueUpdate &Update);
+  void sweepQueue(QueueUpdate &Update, TimePoint Now);
 
   Options Opts;
   std::mt19937_64 Rng;
   Service ServiceConfig;
   bool Configured = false;
   TimePoint WarmupStart;
-  // Learned from shedding; never above Of.Slots.
+  // Number of slots that the upstream's shedding leaves; never above
+  // ServiceConfig.Slots.
   double SlotWindow = 1;
   std::optional<Clock::duration> MeanRunTime;
   TimePoint MeanRunUpdatedAt;
