--- a/src/gate/ColdStartLimiter.cpp
+++ b/src/gate/ColdStartLimiter.cpp
@@ -3,28 +3,29 @@
 #include <algorithm>
 #include <cmath>
 
-// An upstream that has just started bears few calls, and crashes under more.
-// All of its calls pass one gate, so the bound is kept there exactly: what was
-// sent within the last span is counted, together with what has started and
-// waits for its connection, and nothing starts that would be one too many in
-// any span.
+// An upstream that has just started bears few calls and crashes under more. All
+// of its calls pass through one gate, so the limit is enforced exactly there:
+// the requests sent within the last window are counted together with the calls
+// that have started and still wait for their connection, and no call starts
+// that would exceed the limit in any window.
 //
-// Whether it is cold is known late. The list says so seconds after a start, and
-// says "warm" of an upstream that crashed meanwhile. So each sign of a new
-// start makes it cold at once, and only two things make it warm: its own answer
-// to a question that was asked after the last such sign, and the time of a
-// whole warm-up. Wrongly cold costs a few refusals until the answer is there, a
-// moment later; wrongly warm ends the upstream and all that it runs, and it
-// comes back cold.
+// Whether the upstream is cold is known late. The platform's list reports a
+// start only seconds later, and may report an upstream as warm that has crashed
+// meanwhile. So each sign of a restart makes the upstream count as cold at
+// once, and only two things make it warm: its own answer to a query that was
+// sent after the last such sign, or the end of a whole warm-up time. To take a
+// warm upstream for cold costs a few refusals until its answer arrives, a
+// moment later. To take a cold upstream for warm crashes it together with all
+// calls that it runs, and it is cold again after that.
 
 namespace hickorylift {
 
-void ColdStartLimiter::configure(double NewRate, Millis NewWarmup,
+void ColdStartLimiter::configure(double CallsPerSecond, Millis WarmupTime,
                                  TimePoint Now) {
-  bool Begins = !this->isLimited() && NewRate > 0;
-  this->PerSecond = NewRate;
-  this->Warmup = NewWarmup;
-  if (Begins)
+  bool RateAppears = !this->isLimited() && CallsPerSecond > 0;
+  this->PerSecond = CallsPerSecond;
+  this->Warmup = WarmupTime;
+  if (RateAppears)
     this->suspectRestart(Now);
 }
 
@@ -38,13 +39,14 @@
          Now - *this->CountingSince < this->Opts.RateWindow;
 }
 
-// Where all lose power together, nodes and upstreams start together, and their
-// callers would find nothing open for a second more.
-void ColdStartLimiter::checkUpstreamAge(Millis Left, TimePoint Now) {
-  TimePoint Began = Now - (this->Warmup - std::min(Left, this->Warmup));
+// After a power failure the node and its upstream start together, so no
+// previous process can have sent the upstream anything. Without this check the
+// callers would find no capacity for another second.
+void ColdStartLimiter::checkUpstreamAge(Millis ColdLeft, TimePoint Now) {
+  TimePoint StartedAt = Now - (this->Warmup - std::min(ColdLeft, this->Warmup));
   this->HistoryComplete |=
-      Left.count() > 0 && this->CountingSince &&
-      Began + this->Opts.MinRestartGap >= *this->CountingSince;
+      ColdLeft.count() > 0 && this->CountingSince &&
+      StartedAt + this->Opts.MinRestartGap >= *this->CountingSince;
 }
 
 void ColdStartLimiter::suspectRestart(TimePoint Now) {
@@ -62,35 +64,35 @@
     this->suspectRestart(Now);
 }
 
-void ColdStartLimiter::listReported(Millis Left, TimePoint Now) {
-  bool News = Left.count() > 0 &&
-              (Left > this->ListedColdLeft || Now + Left > this->ColdUntil);
-  this->ListedColdLeft = Left;
-  if (this->isLimited() && News)
+void ColdStartLimiter::listReported(Millis ColdLeft, TimePoint Now) {
+  bool IsNews = ColdLeft.count() > 0 && (ColdLeft > this->ListedColdLeft ||
+                                         Now + ColdLeft > this->ColdUntil);
+  this->ListedColdLeft = ColdLeft;
+  if (this->isLimited() && IsNews)
     this->suspectRestart(Now);
 }
 
 bool ColdStartLimiter::shouldQuery(TimePoint Now) {
-  bool Due =
+  bool IsDue =
       !this->QueriedAt || Now - *this->QueriedAt >= this->Opts.QueryInterval;
-  if (!this->isCold(Now) || !this->RestartSuspectedAt || !Due)
+  if (!this->isCold(Now) || !this->RestartSuspectedAt || !IsDue)
     return false;
   this->QueriedAt = Now;
   return true;
 }
 
-void ColdStartLimiter::upstreamReported(std::optional<Millis> Left,
+void ColdStartLimiter::upstreamReported(std::optional<Millis> ColdLeft,
                                         TimePoint Now) {
-  // What it answers may be from before the doubt.
-  bool Before =
+  // The answer may be older than the suspected restart.
+  bool IsOutdated =
       this->RestartSuspectedAt &&
       (!this->QueriedAt || *this->QueriedAt < *this->RestartSuspectedAt);
-  if (!Left || Before)
+  if (!ColdLeft || IsOutdated)
     return;
   this->RestartSuspectedAt.reset();
-  this->checkUpstreamAge(*Left, Now);
-  bool Cold = Left->count() > 0;
-  this->ColdUntil = Cold ? Now + *Left + this->Opts.EndMargin : Now;
+  this->checkUpstreamAge(*ColdLeft, Now);
+  bool IsStillCold = ColdLeft->count() > 0;
+  this->ColdUntil = IsStillCold ? Now + *ColdLeft + this->Opts.EndMargin : Now;
 }
 
 bool ColdStartLimiter::isCold(TimePoint Now) const {
@@ -102,8 +104,8 @@
 }
 
 size_t ColdStartLimiter::windowLimit() const {
-  double Most = std::floor(this->toleratedCalls()) - this->Opts.ReservedCalls;
-  return static_cast<size_t>(std::max(1.0, Most));
+  double Limit = std::floor(this->toleratedCalls()) - this->Opts.ReservedCalls;
+  return static_cast<size_t>(std::max(1.0, Limit));
 }
 
 double ColdStartLimiter::allowedRate() const {
@@ -134,15 +136,17 @@
     return std::min(*this->CountingSince + this->Opts.RateWindow,
                     this->ColdUntil) -
            Now;
-  size_t Taken = this->SentTimes.size() + this->Reserved;
-  size_t MustGo = Taken - this->windowLimit();
-  // Without a request of which the end of the span is known: a span from now.
+  size_t Used = this->SentTimes.size() + this->Reserved;
+  size_t ExcessIndex = Used - this->windowLimit();
+  // If the reservations alone fill the window, the time at which they leave it
+  // isn't known: assume a whole window from now.
   TimePoint Oldest =
-      MustGo < this->SentTimes.size() ? this->SentTimes[MustGo] : Now;
+      ExcessIndex < this->SentTimes.size() ? this->SentTimes[ExcessIndex] : Now;
   return std::min(Oldest + this->Opts.RateWindow, this->ColdUntil) - Now;
 }
 
-// Counted also while it is warm: it may turn out to be cold within the span.
+// Requests are also counted while the upstream is warm, because it may turn out
+// to have been cold within the window.
 void ColdStartLimiter::recordSent(TimePoint Now) {
   if (!this->isLimited())
     return;
--- a/src/gate/ColdStartLimiter.h
+++ b/src/gate/ColdStartLimiter.h
@@ -9,84 +9,98 @@
 #include <set>
 #include <string>
 
-// A ColdStart judges whether the upstream beside a gate is cold, and how many
-// calls it bears meanwhile.
+// A ColdStartLimiter estimates whether the upstream on the gate's machine is
+// cold, that is, has started only recently, and limits the calls that it gets
+// meanwhile.
 //
-//   ColdStart Cold{ColdStart::Options()};
-//   Cold.configure(/*PerSecond=*/11, /*Warmup=*/Millis(3000), Now);
-//   Cold.doubt(Now);                          // it may have started anew
-//   if (Cold.asksNow(Now)) askTheUpstream();
-//   Cold.told(Millis(2100), Now);             // as it answers
-//   if (Cold.room(Now) > 0) { Cold.begun(); start(Call); }
-//   Cold.sent(Now);                           // its request has gone out
-//   Cold.settled();                           // the same, or it never will
+//   ColdStartLimiter Limiter{ColdStartLimiter::Options()};
+//   Limiter.configure(/*CallsPerSecond=*/11, /*WarmupTime=*/Millis(3000), Now);
+//   Limiter.suspectRestart(Now);              // it may have restarted
+//   if (Limiter.shouldQuery(Now))
+//     queryUpstream();
+//   Limiter.upstreamReported(Millis(2100), Now); // its answer
+//   if (Limiter.capacity(Now) > 0) {
+//     Limiter.reserve();
+//     start(Call);
+//   }
+//   Limiter.recordSent(Now);                  // the request has been sent
+//   Limiter.releaseReservation();             // sent, or given up
 
 namespace hickorylift {
 
 class ColdStartLimiter {
 public:
   struct Options {
-    /// What a cold upstream bears for a moment, as a multiple of the rate that
-    /// its service states.
+    /// Number of calls per second that a cold upstream bears for a moment, as a
+    /// multiple of the rate that its service states.
     double RateFactor = 1;
-    /// And so many calls besides.
+    /// Number of calls that it bears on top of that.
     double ExtraCalls = 0;
-    /// Requests are counted over this span, wherever it begins.
+    /// Length of the sliding window in which requests are counted.
     Millis RateWindow{1000};
-    /// Kept free of that bound, for what is sent without asking here: a
-    /// question how the upstream is, and a request that is sent once more since
-    /// its connection was closed as it went out.
+    /// Part of the limit that is kept free for requests that are sent without
+    /// asking the limiter: queries for the upstream's state, and requests that
+    /// are sent again because the connection was closed while they went out.
     unsigned ReservedCalls = 2;
-    /// Added to what the upstream says: it says whole milliseconds, and a wave
-    /// of calls that waited for its end must not come before it.
+    /// Added to the cold time that the upstream reports. It reports whole
+    /// milliseconds, and the many calls that wait for the end of the cold time
+    /// must not arrive before it.
     Millis EndMargin{100};
-    /// A process is not started again sooner after the end of the one before.
+    /// A process is never started again sooner than this after the end of the
+    /// previous one.
     Millis MinRestartGap{100};
-    /// Between two questions to an upstream that has not answered. An answer
-    /// that takes longer must be dropped by whoever asks.
+    /// Interval between two queries to an upstream that hasn't answered. The
+    /// code that sends the query must discard an answer that takes longer.
     Millis QueryInterval{500};
-    /// Names of upstreams remembered, so that each is doubted once.
+    /// Number of upstream names that are remembered, so that each new name is
+    /// taken for a restart once.
     size_t MaxUpstreamNames = 32;
   };
 
   explicit ColdStartLimiter(Options Opts) : Opts(Opts) {}
 
-  /// What the service says of its upstreams: calls a second that a cold one
-  /// bears, and how long it stays cold. Zero calls: nothing is limited. The
-  /// first time that a rate is stated, nothing is known of the upstream yet.
-  void configure(double PerSecond, Millis Warmup, TimePoint Now);
-  /// From here on all that is sent is counted. What an earlier process beside
-  /// the same upstream has sent just before is not known, and may have been as
-  /// much as it bears.
+  /// Sets what the service states about its upstreams: the calls per second
+  /// that a cold one bears, and how long it stays cold. With a rate of zero
+  /// nothing is limited. When a rate is stated for the first time, the state of
+  /// the upstream is unconfirmed.
+  void configure(double CallsPerSecond, Millis WarmupTime, TimePoint Now);
+  /// From now on every request that is sent is counted. How much a previous
+  /// process sent to the same upstream just before isn't known; it may have
+  /// been as much as the upstream bears.
   void startCounting(TimePoint Now);
-  /// The upstream may have started anew, or have been made cold: it counts as
-  /// cold for a whole warm-up, or until it says otherwise.
+  /// The upstream may have restarted, or have become cold again. It counts as
+  /// cold for a whole warm-up time, or until it reports otherwise.
   void suspectRestart(TimePoint Now);
-  /// A call names this upstream. One that was not met before has started anew.
+  /// A call names this upstream. A name that wasn't seen before belongs to an
+  /// upstream that has just started.
   void observeUpstream(const std::string &Upstream, TimePoint Now);
-  /// The list says how long it stays cold, as of some moments ago. It can only
-  /// cast a doubt: what it says of a warm one may be from before.
-  void listReported(Millis Left, TimePoint Now);
-  /// Whether the upstream is to be asked now; counts as asked if so.
+  /// The platform's list reports how long the upstream stays cold, as of a
+  /// moment ago. A list can only raise the suspicion of a restart: its report
+  /// that an upstream is warm may be older than the restart.
+  void listReported(Millis ColdLeft, TimePoint Now);
+  /// Whether the upstream's state is to be queried now. If so, the query counts
+  /// as sent.
   bool shouldQuery(TimePoint Now);
-  /// The upstream's own answer; nothing where it did not say.
-  void upstreamReported(std::optional<Millis> Left, TimePoint Now);
+  /// What the upstream itself reported: how long it stays cold, or nothing if
+  /// it didn't say.
+  void upstreamReported(std::optional<Millis> ColdLeft, TimePoint Now);
 
   bool isCold(TimePoint Now) const;
-  /// Calls that may start now.
+  /// Number of calls that may start now.
   size_t capacity(TimePoint Now);
-  /// Until when one more may start; zero where one may now.
+  /// Time until one more call may start; zero if one may start now.
   Clock::duration timeUntilCapacity(TimePoint Now);
-  /// A call starts. Its request goes out once there is a connection for it, and
-  /// takes up room from now on.
+  /// Reserves capacity for a call. Its request is sent once it has a
+  /// connection, and uses capacity from now on.
   void reserve() { ++this->Reserved; }
-  /// What begun() took is over.
+  /// Ends a reservation that reserve() made.
   void releaseReservation() { --this->Reserved; }
-  /// A request has gone out to the upstream, whoever made it.
+  /// A request has been sent to the upstream, by any component.
   void recordSent(TimePoint Now);
-  /// Calls a second that are let through while it is cold.
+  /// Calls per second that are allowed while the upstream is cold.
   double allowedRate() const;
-  /// Whether it is cold and had more in the last span than it bears.
+  /// Whether the upstream is cold and got more calls in the last window than it
+  /// bears.
   bool isOverLimit(TimePoint Now);
 
 private:
@@ -94,22 +108,22 @@
   double toleratedCalls() const;
   size_t windowLimit() const;
   bool isHistoryUnknown(TimePoint Now) const;
-  void checkUpstreamAge(Millis Left, TimePoint Now);
+  void checkUpstreamAge(Millis ColdLeft, TimePoint Now);
   void expireSent(TimePoint Now);
 
   Options Opts;
   double PerSecond = 0;
   Millis Warmup{0};
   TimePoint ColdUntil;
-  // Set from a doubt until the upstream has answered a question that was asked
-  // after it.
+  // Set from a suspected restart until the upstream has answered a query that
+  // was sent after it.
   std::optional<TimePoint> RestartSuspectedAt;
   std::optional<TimePoint> QueriedAt;
   Millis ListedColdLeft{0};
-  // Oldest first.
+  // Times of the requests sent, the oldest first.
   std::deque<TimePoint> SentTimes;
   std::optional<TimePoint> CountingSince;
-  // Whether the upstream is so young that no process before this one can have
+  // Whether the upstream started so recently that no previous process can have
   // sent it anything.
   bool HistoryComplete = false;
   size_t Reserved = 0;
--- a/src/gate/ColdStartLimiterTest.cpp
+++ b/src/gate/ColdStartLimiterTest.cpp
@@ -22,291 +22,303 @@
 TimePoint at(int64_t Ms) { return Start + Millis(Ms); }
 
 ColdStartLimiter::Options options() {
-  ColdStartLimiter::Options Out;
-  Out.RateFactor = 1.5;
-  Out.ExtraCalls = 5;
-  Out.ReservedCalls = 0;
-  return Out;
+  ColdStartLimiter::Options Opts;
+  Opts.RateFactor = 1.5;
+  Opts.ExtraCalls = 5;
+  Opts.ReservedCalls = 0;
+  return Opts;
 }
-// 10 a second, half as much again, and 5.
-constexpr size_t Bound = 20;
+// 10 calls per second, times 1.5, plus 5.
+constexpr size_t WindowLimit = 20;
 
-/// Configured at Start, and warm by its own word.
+/// A limiter that was configured at Start and whose upstream reported itself
+/// warm.
 ColdStartLimiter warm() {
-  ColdStartLimiter Out(options());
-  Out.configure(PerSecond, Warmup, Start);
-  Out.observeUpstream("up-1", Start);
-  Out.shouldQuery(Start);
-  Out.upstreamReported(Millis(0), Start);
-  return Out;
+  ColdStartLimiter Limiter(options());
+  Limiter.configure(PerSecond, Warmup, Start);
+  Limiter.observeUpstream("up-1", Start);
+  Limiter.shouldQuery(Start);
+  Limiter.upstreamReported(Millis(0), Start);
+  return Limiter;
 }
 
-/// What happens to a warm upstream, and whether it is cold 100 ms and 3.1 s
-/// later.
+/// An event at a warm upstream, and whether the upstream counts as cold 600 ms
+/// and 3.1 s after it.
 struct SignRow {
-  const char *What;
-  std::function<void(ColdStartLimiter &)> Happens;
-  bool ColdSoon;
-  bool ColdLater;
+  const char *Name;
+  std::function<void(ColdStartLimiter &)> Event;
+  bool ColdAfter600Ms;
+  bool ColdAfter3100Ms;
 };
-std::ostream &operator<<(std::ostream &To, const SignRow &Of) {
-  return To << Of.What;
+std::ostream &operator<<(std::ostream &To, const SignRow &Row) {
+  return To << Row.Name;
 }
 
-void ask(ColdStartLimiter &Of, int64_t AskedMs, std::optional<Millis> Told,
-         int64_t ToldMs) {
-  Of.shouldQuery(at(AskedMs));
-  Of.upstreamReported(Told, at(ToldMs));
+void query(ColdStartLimiter &Limiter, int64_t QueriedMs,
+           std::optional<Millis> ColdLeft, int64_t ReportedMs) {
+  Limiter.shouldQuery(at(QueriedMs));
+  Limiter.upstreamReported(ColdLeft, at(ReportedMs));
 }
 
 const SignRow Signs[] = {
     {"nothing", [](ColdStartLimiter &) {}, false, false},
-    {"a doubt", [](ColdStartLimiter &Of) { Of.suspectRestart(at(0)); }, true,
+    {"a suspected restart",
+     [](ColdStartLimiter &Limiter) { Limiter.suspectRestart(at(0)); }, true,
      false},
-    {"a doubt that it answers: warm",
-     [](ColdStartLimiter &Of) {
-       Of.suspectRestart(at(0));
-       ask(Of, 500, Millis(0), 501);
+    {"a suspected restart, then the upstream reports warm",
+     [](ColdStartLimiter &Limiter) {
+       Limiter.suspectRestart(at(0));
+       query(Limiter, 500, Millis(0), 501);
      },
      false, false},
-    {"a doubt that it answers: cold for longer than a warm-up",
-     [](ColdStartLimiter &Of) {
-       Of.suspectRestart(at(0));
-       ask(Of, 500, Millis(4000), 501);
+    {"a suspected restart, then the upstream reports cold for longer than a "
+     "warm-up",
+     [](ColdStartLimiter &Limiter) {
+       Limiter.suspectRestart(at(0));
+       query(Limiter, 500, Millis(4000), 501);
      },
      true, true},
-    {"a doubt that it answers without a word of it",
-     [](ColdStartLimiter &Of) {
-       Of.suspectRestart(at(0));
-       ask(Of, 500, std::nullopt, 501);
+    {"a suspected restart, then an answer that doesn't report the cold time",
+     [](ColdStartLimiter &Limiter) {
+       Limiter.suspectRestart(at(0));
+       query(Limiter, 500, std::nullopt, 501);
      },
      true, false},
-    {"an answer to a question from before the doubt",
-     [](ColdStartLimiter &Of) {
-       Of.suspectRestart(at(0));
-       Of.shouldQuery(at(500));
-       Of.suspectRestart(at(510));
-       Of.upstreamReported(Millis(0), at(520));
+    {"an answer to a query that was sent before the suspected restart",
+     [](ColdStartLimiter &Limiter) {
+       Limiter.suspectRestart(at(0));
+       Limiter.shouldQuery(at(500));
+       Limiter.suspectRestart(at(510));
+       Limiter.upstreamReported(Millis(0), at(520));
      },
      true, true},
     {"a call that names another upstream",
-     [](ColdStartLimiter &Of) { Of.observeUpstream("up-2", at(0)); }, true,
-     false},
-    {"a call that names the same",
-     [](ColdStartLimiter &Of) { Of.observeUpstream("up-1", at(0)); }, false,
-     false},
-    {"a call that names nobody",
-     [](ColdStartLimiter &Of) { Of.observeUpstream("", at(0)); }, false, false},
-    {"the list: cold",
-     [](ColdStartLimiter &Of) { Of.listReported(Millis(2000), at(0)); }, true,
-     false},
-    {"the list: warm, in the midst of a doubt",
-     [](ColdStartLimiter &Of) {
-       Of.suspectRestart(at(0));
-       Of.listReported(Millis(0), at(10));
+     [](ColdStartLimiter &Limiter) { Limiter.observeUpstream("up-2", at(0)); },
+     true, false},
+    {"a call that names the same upstream",
+     [](ColdStartLimiter &Limiter) { Limiter.observeUpstream("up-1", at(0)); },
+     false, false},
+    {"a call that names no upstream",
+     [](ColdStartLimiter &Limiter) { Limiter.observeUpstream("", at(0)); },
+     false, false},
+    {"the list reports cold",
+     [](ColdStartLimiter &Limiter) {
+       Limiter.listReported(Millis(2000), at(0));
+     },
+     true, false},
+    {"the list reports warm after a suspected restart",
+     [](ColdStartLimiter &Limiter) {
+       Limiter.suspectRestart(at(0));
+       Limiter.listReported(Millis(0), at(10));
      },
      true, false},
-    {"unasked, it says that it is cold",
-     [](ColdStartLimiter &Of) { Of.upstreamReported(Millis(2000), at(0)); },
+    {"the upstream reports cold without a query",
+     [](ColdStartLimiter &Limiter) {
+       Limiter.upstreamReported(Millis(2000), at(0));
+     },
      true, false},
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(ColdStarts)
+BOOST_AUTO_TEST_SUITE(ColdStartLimiting)
 
-// Guards against an upstream that started unseen, and is taken for warm.
-BOOST_DATA_TEST_CASE(SignsOfANewStart, data::make(Signs), Row) {
-  ColdStartLimiter Of = warm();
-  Row.Happens(Of);
-  BOOST_TEST(Of.isCold(at(600)) == Row.ColdSoon);
-  BOOST_TEST(Of.isCold(at(3100)) == Row.ColdLater);
+// Guards against a cold upstream that is taken for warm because its restart
+// wasn't noticed.
+BOOST_DATA_TEST_CASE(RestartSignsMakeTheUpstreamCold, data::make(Signs), Row) {
+  ColdStartLimiter Limiter = warm();
+  Row.Event(Limiter);
+  BOOST_TEST(Limiter.isCold(at(600)) == Row.ColdAfter600Ms);
+  BOOST_TEST(Limiter.isCold(at(3100)) == Row.ColdAfter3100Ms);
 }
 
-// Guards against a node that starts beside a cold upstream and takes it for
+// Guards against a node that starts next to a cold upstream and takes it for
 // warm.
-BOOST_AUTO_TEST_CASE(NothingIsKnownAtFirst) {
-  ColdStartLimiter Of(options());
-  Of.configure(PerSecond, Warmup, Start);
-  BOOST_TEST(Of.isCold(Start));
-  BOOST_TEST(Of.shouldQuery(Start));
-  BOOST_TEST(!Of.shouldQuery(at(400)));
-  BOOST_TEST(Of.shouldQuery(at(500)));
-  Of.upstreamReported(Millis(0), at(501));
-  BOOST_TEST(!Of.isCold(at(501)));
-  BOOST_TEST(!Of.shouldQuery(at(2000)));
+BOOST_AUTO_TEST_CASE(CountsAsColdUntilTheFirstAnswer) {
+  ColdStartLimiter Limiter(options());
+  Limiter.configure(PerSecond, Warmup, Start);
+  BOOST_TEST(Limiter.isCold(Start));
+  BOOST_TEST(Limiter.shouldQuery(Start));
+  BOOST_TEST(!Limiter.shouldQuery(at(400)));
+  BOOST_TEST(Limiter.shouldQuery(at(500)));
+  Limiter.upstreamReported(Millis(0), at(501));
+  BOOST_TEST(!Limiter.isCold(at(501)));
+  BOOST_TEST(!Limiter.shouldQuery(at(2000)));
 }
 
-// Guards against a process that is killed and started again at once, and sends
-// its cold upstream as much as the one before has just sent.
-BOOST_AUTO_TEST_CASE(WhatAnEarlierProcessSentIsNotKnown) {
-  ColdStartLimiter Of(options());
-  Of.startCounting(Start);
-  Of.configure(PerSecond, Warmup, at(300));
-  Of.startCounting(at(600));
-  BOOST_TEST(Of.capacity(at(999)) == 0u);
-  BOOST_TEST((Of.timeUntilCapacity(at(300)) == Millis(700)));
-  BOOST_TEST(Of.capacity(at(1000)) == Bound);
+// Guards against a process that is killed and restarted at once, and sends its
+// cold upstream as much as the previous process has just sent.
+BOOST_AUTO_TEST_CASE(RequestsOfThePreviousProcessAreAssumed) {
+  ColdStartLimiter Limiter(options());
+  Limiter.startCounting(Start);
+  Limiter.configure(PerSecond, Warmup, at(300));
+  Limiter.startCounting(at(600));
+  BOOST_TEST(Limiter.capacity(at(999)) == 0u);
+  BOOST_TEST((Limiter.timeUntilCapacity(at(300)) == Millis(700)));
+  BOOST_TEST(Limiter.capacity(at(1000)) == WindowLimit);
 }
 
-// Guards against a second without service more, where all start together.
-BOOST_AUTO_TEST_CASE(AnUpstreamThatStartsWithItsNodeIsKnownWhole) {
-  for (int64_t BeganMs : {-300, -50, 200}) {
-    ColdStartLimiter Of(options());
-    Of.startCounting(Start);
-    Of.configure(PerSecond, Warmup, at(400));
-    ask(Of, 400, Warmup - Millis(400 - BeganMs), 400);
-    BOOST_TEST(Of.capacity(at(500)) == (BeganMs < -100 ? 0u : Bound));
+// Guards against one more second without service after a power failure, when
+// all nodes and upstreams start together.
+BOOST_AUTO_TEST_CASE(UpstreamThatStartsWithItsNodeHasFullCapacity) {
+  for (int64_t UpstreamStartMs : {-300, -50, 200}) {
+    ColdStartLimiter Limiter(options());
+    Limiter.startCounting(Start);
+    Limiter.configure(PerSecond, Warmup, at(400));
+    query(Limiter, 400, Warmup - Millis(400 - UpstreamStartMs), 400);
+    BOOST_TEST(Limiter.capacity(at(500)) ==
+               (UpstreamStartMs < -100 ? 0u : WindowLimit));
   }
 }
 
-BOOST_AUTO_TEST_CASE(ANewProcessBesideAWarmUpstreamGoesOn) {
-  ColdStartLimiter Of(options());
-  Of.startCounting(Start);
-  Of.configure(PerSecond, Warmup, at(300));
-  ask(Of, 300, Millis(0), 301);
-  BOOST_TEST(Of.capacity(at(301)) == SIZE_MAX);
+BOOST_AUTO_TEST_CASE(NewProcessNextToAWarmUpstreamIsNotLimited) {
+  ColdStartLimiter Limiter(options());
+  Limiter.startCounting(Start);
+  Limiter.configure(PerSecond, Warmup, at(300));
+  query(Limiter, 300, Millis(0), 301);
+  BOOST_TEST(Limiter.capacity(at(301)) == SIZE_MAX);
 }
 
-BOOST_AUTO_TEST_CASE(WithoutARateNothingIsLimited) {
-  ColdStartLimiter Of(options());
-  Of.configure(/*PerSecond=*/0, Warmup, Start);
-  Of.suspectRestart(Start);
-  BOOST_TEST(!Of.isCold(Start));
-  BOOST_TEST(!Of.shouldQuery(Start));
-  BOOST_TEST(Of.capacity(Start) == SIZE_MAX);
+BOOST_AUTO_TEST_CASE(WithoutAStatedRateNothingIsLimited) {
+  ColdStartLimiter Limiter(options());
+  Limiter.configure(/*CallsPerSecond=*/0, Warmup, Start);
+  Limiter.suspectRestart(Start);
+  BOOST_TEST(!Limiter.isCold(Start));
+  BOOST_TEST(!Limiter.shouldQuery(Start));
+  BOOST_TEST(Limiter.capacity(Start) == SIZE_MAX);
 }
 
-// Guards against two bursts that lie in two spans each, and together in one.
-BOOST_AUTO_TEST_CASE(NoSpanHoldsMoreThanTheBound) {
-  ColdStartLimiter Of(options());
-  Of.configure(PerSecond, Millis(10000), Start);
+// Guards against two bursts that each fit into the limit of a fixed interval,
+// but together exceed it within one window.
+BOOST_AUTO_TEST_CASE(NoWindowExceedsTheLimit) {
+  ColdStartLimiter Limiter(options());
+  Limiter.configure(PerSecond, Millis(10000), Start);
   std::vector<TimePoint> Started;
   for (int64_t Ms = 0; Ms < 9000; Ms += 7) {
-    bool Bursts = Ms % 1700 < 300;
-    for (int Tries = Bursts ? 5 : 1; Tries > 0 && Of.capacity(at(Ms)) > 0;
+    bool InBurst = Ms % 1700 < 300;
+    for (int Tries = InBurst ? 5 : 1; Tries > 0 && Limiter.capacity(at(Ms)) > 0;
          --Tries) {
-      Of.recordSent(at(Ms));
+      Limiter.recordSent(at(Ms));
       Started.push_back(at(Ms));
     }
   }
-  for (size_t I = Bound; I < Started.size(); ++I)
-    BOOST_TEST((Started[I] - Started[I - Bound] >= Millis(1000)));
-  BOOST_TEST(Started.size() > 8 * Bound);
+  for (size_t I = WindowLimit; I < Started.size(); ++I)
+    BOOST_TEST((Started[I] - Started[I - WindowLimit] >= Millis(1000)));
+  BOOST_TEST(Started.size() > 8 * WindowLimit);
 }
 
-// Guards against calls from just before the cold time that are not counted: the
-// upstream was cold already, and nobody knew.
-BOOST_AUTO_TEST_CASE(WhatStartedWhileItWasTakenForWarmCounts) {
-  ColdStartLimiter Of = warm();
+// Guards against ignoring calls from just before a suspected restart: the
+// upstream was already cold, but this wasn't known.
+BOOST_AUTO_TEST_CASE(RequestsSentBeforeTheSuspicionCount) {
+  ColdStartLimiter Limiter = warm();
   for (int64_t Ms = 0; Ms < 30; ++Ms)
-    Of.recordSent(at(Ms));
-  Of.suspectRestart(at(100));
-  BOOST_TEST(Of.capacity(at(100)) == 0u);
-  BOOST_TEST((Of.timeUntilCapacity(at(100)) == Millis(910)));
-  BOOST_TEST(Of.isOverLimit(at(100)));
-  BOOST_TEST(Of.capacity(at(1010)) == 1u);
-  BOOST_TEST(Of.capacity(at(1100)) == Bound);
-  BOOST_TEST(!Of.isOverLimit(at(1100)));
+    Limiter.recordSent(at(Ms));
+  Limiter.suspectRestart(at(100));
+  BOOST_TEST(Limiter.capacity(at(100)) == 0u);
+  BOOST_TEST((Limiter.timeUntilCapacity(at(100)) == Millis(910)));
+  BOOST_TEST(Limiter.isOverLimit(at(100)));
+  BOOST_TEST(Limiter.capacity(at(1010)) == 1u);
+  BOOST_TEST(Limiter.capacity(at(1100)) == WindowLimit);
+  BOOST_TEST(!Limiter.isOverLimit(at(1100)));
 }
 
-// Guards against requests that wait for their connections and all go out in a
-// span that is full without them.
-BOOST_AUTO_TEST_CASE(WhatHasNotGoneOutTakesUpRoom) {
-  ColdStartLimiter Of = warm();
-  Of.suspectRestart(at(0));
-  for (size_t I = 0; I < Bound; ++I)
-    Of.reserve();
-  BOOST_TEST(Of.capacity(at(1500)) == 0u);
-  BOOST_TEST((Of.timeUntilCapacity(at(1500)) > Millis(0)));
-  Of.releaseReservation();
-  Of.recordSent(at(1600));
-  BOOST_TEST(Of.capacity(at(1700)) == 0u);
-  Of.releaseReservation();
-  BOOST_TEST(Of.capacity(at(1700)) == 1u);
+// Guards against requests that wait for their connections and are all sent in a
+// window that is full without them.
+BOOST_AUTO_TEST_CASE(ReservationsUseCapacity) {
+  ColdStartLimiter Limiter = warm();
+  Limiter.suspectRestart(at(0));
+  for (size_t I = 0; I < WindowLimit; ++I)
+    Limiter.reserve();
+  BOOST_TEST(Limiter.capacity(at(1500)) == 0u);
+  BOOST_TEST((Limiter.timeUntilCapacity(at(1500)) > Millis(0)));
+  Limiter.releaseReservation();
+  Limiter.recordSent(at(1600));
+  BOOST_TEST(Limiter.capacity(at(1700)) == 0u);
+  Limiter.releaseReservation();
+  BOOST_TEST(Limiter.capacity(at(1700)) == 1u);
 }
 
-// Guards against a request that crashes cold upstreams and is never held: what
-// its gate let through is no overrun.
-BOOST_AUTO_TEST_CASE(WhatWasLetThroughIsNoOverrun) {
-  ColdStartLimiter Of = warm();
-  Of.suspectRestart(at(0));
-  for (; Of.capacity(at(10)) > 0;)
-    Of.recordSent(at(10));
-  BOOST_TEST(!Of.isOverLimit(at(20)));
-  Of.recordSent(at(20));
-  BOOST_TEST(Of.isOverLimit(at(20)));
+// Guards against a crashing request that is never quarantined because the calls
+// that the limiter allowed are taken for an overload of the cold upstream.
+BOOST_AUTO_TEST_CASE(AllowedRequestsAreNotOverLimit) {
+  ColdStartLimiter Limiter = warm();
+  Limiter.suspectRestart(at(0));
+  for (; Limiter.capacity(at(10)) > 0;)
+    Limiter.recordSent(at(10));
+  BOOST_TEST(!Limiter.isOverLimit(at(20)));
+  Limiter.recordSent(at(20));
+  BOOST_TEST(Limiter.isOverLimit(at(20)));
 }
 
-BOOST_AUTO_TEST_CASE(TheWaitEndsWithTheColdTime) {
-  ColdStartLimiter Of = warm();
-  Of.suspectRestart(at(0));
-  Of.shouldQuery(at(500));
-  Of.upstreamReported(Millis(200), at(500));
-  for (size_t I = 0; I < Bound; ++I)
-    Of.recordSent(at(500));
-  BOOST_TEST((Of.timeUntilCapacity(at(500)) == Millis(300)));
-  // What it says is cut to whole milliseconds, so a wave at its end comes
-  // early.
-  BOOST_TEST(Of.capacity(at(701)) == 0u);
-  BOOST_TEST(Of.capacity(at(800)) == SIZE_MAX);
+BOOST_AUTO_TEST_CASE(WaitEndsWithTheColdTime) {
+  ColdStartLimiter Limiter = warm();
+  Limiter.suspectRestart(at(0));
+  Limiter.shouldQuery(at(500));
+  Limiter.upstreamReported(Millis(200), at(500));
+  for (size_t I = 0; I < WindowLimit; ++I)
+    Limiter.recordSent(at(500));
+  BOOST_TEST((Limiter.timeUntilCapacity(at(500)) == Millis(300)));
+  // The upstream reports whole milliseconds, rounded down, so calls that wait
+  // for the reported end would arrive too early.
+  BOOST_TEST(Limiter.capacity(at(701)) == 0u);
+  BOOST_TEST(Limiter.capacity(at(800)) == SIZE_MAX);
 }
 
-// Guards against a gate that admits by its free slots what its cold upstream
-// does not bear.
-BOOST_AUTO_TEST_CASE(AdmissionHandsAColdUpstreamWhatItBears) {
+// Guards against a gate that admits calls by its free slots although its cold
+// upstream bears fewer.
+BOOST_AUTO_TEST_CASE(AdmissionLimitsCallsToAColdUpstream) {
   Admission::Options Opts;
   Opts.ColdStartOpts = options();
-  Admission At(Opts, /*Seed=*/1);
-  Service Of;
-  Of.Slots = 100;
-  Of.QueueLimit = 5;
-  Of.Warmup = Warmup;
-  Of.ColdPerSecond = PerSecond;
-  At.configure(Of, Start);
-  size_t Ran = 0, Waited = 0;
+  Admission Slots(Opts, /*Seed=*/1);
+  Service Config;
+  Config.Slots = 100;
+  Config.QueueLimit = 5;
+  Config.Warmup = Warmup;
+  Config.ColdPerSecond = PerSecond;
+  Slots.configure(Config, Start);
+  size_t RunCount = 0, WaitCount = 0;
   for (uint64_t Seq = 1; Seq <= 40; ++Seq) {
-    Admission::Request One;
-    One.Id = {1, Seq};
-    One.Deadline = Start + Millis(5000);
-    Admission::Result Said = At.admit(One, Start);
-    Waited += Said.Action == Admission::Decision::Wait;
-    if (Said.Action != Admission::Decision::Run)
+    Admission::Request Call;
+    Call.Id = {1, Seq};
+    Call.Deadline = Start + Millis(5000);
+    Admission::Result Result = Slots.admit(Call, Start);
+    WaitCount += Result.Action == Admission::Decision::Wait;
+    if (Result.Action != Admission::Decision::Run)
       continue;
-    ++Ran;
-    BOOST_TEST(!At.reserveCapacity(Start));
-    At.coldStart().recordSent(Start);
-    At.coldStart().releaseReservation();
+    ++RunCount;
+    BOOST_TEST(!Slots.reserveCapacity(Start));
+    Slots.coldStart().recordSent(Start);
+    Slots.coldStart().releaseReservation();
   }
-  BOOST_TEST(Ran == Bound);
-  // More would wait for longer than calls may.
-  BOOST_TEST(Waited == 0u);
-  BOOST_TEST(At.load(Start).slots() < 100u);
-  BOOST_TEST(At.load(Start).queued() >= Bound);
+  BOOST_TEST(RunCount == WindowLimit);
+  // Further calls would wait for longer than calls may.
+  BOOST_TEST(WaitCount == 0u);
+  BOOST_TEST(Slots.load(Start).slots() < 100u);
+  BOOST_TEST(Slots.load(Start).queued() >= WindowLimit);
 }
 
-// Guards against a body that comes for seconds, and whose call starts in a span
-// that is full by then.
-BOOST_AUTO_TEST_CASE(ACallThatStartsLateIsCountedThen) {
-  ColdStartLimiter::Options Cold = options();
+// Guards against a call whose body takes seconds to arrive, and which starts in
+// a window that is full by then.
+BOOST_AUTO_TEST_CASE(CallsAreCountedWhenTheyStart) {
+  ColdStartLimiter::Options Limits = options();
   Admission::Options Opts;
-  Opts.ColdStartOpts = Cold;
-  Admission At(Opts, /*Seed=*/1);
-  Service Of;
-  Of.Slots = 100;
-  Of.Warmup = Warmup;
-  Of.ColdPerSecond = PerSecond;
-  At.configure(Of, Start);
-  for (size_t I = 0; I < Bound; ++I) {
-    BOOST_TEST(!At.reserveCapacity(at(500)));
-    At.coldStart().recordSent(at(500));
-    At.coldStart().releaseReservation();
+  Opts.ColdStartOpts = Limits;
+  Admission Slots(Opts, /*Seed=*/1);
+  Service Config;
+  Config.Slots = 100;
+  Config.Warmup = Warmup;
+  Config.ColdPerSecond = PerSecond;
+  Slots.configure(Config, Start);
+  for (size_t I = 0; I < WindowLimit; ++I) {
+    BOOST_TEST(!Slots.reserveCapacity(at(500)));
+    Slots.coldStart().recordSent(at(500));
+    Slots.coldStart().releaseReservation();
   }
-  std::optional<Admission::Result> No = At.reserveCapacity(at(600));
-  BOOST_REQUIRE(No);
-  BOOST_TEST((No->RefusalDetails.What == Outcome::NotRun));
-  BOOST_TEST((No->RefusalDetails.RetryAfter >= Millis(900)));
-  BOOST_TEST(!At.reserveCapacity(at(1500)));
+  std::optional<Admission::Result> Refused = Slots.reserveCapacity(at(600));
+  BOOST_REQUIRE(Refused);
+  BOOST_TEST((Refused->RefusalDetails.What == Outcome::NotRun));
+  BOOST_TEST((Refused->RefusalDetails.RetryAfter >= Millis(900)));
+  BOOST_TEST(!Slots.reserveCapacity(at(1500)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
