--- a/src/gate/IdempotencyChecker.cpp
+++ b/src/gate/IdempotencyChecker.cpp
@@ -4,24 +4,26 @@
 
 #include <algorithm>
 
-// A caller that got no answer may repeat its call with the same key through
-// any node. The repeat must meet whoever ran the first, or nobody. So a gate
-// judges a key only if, by lists no older than MaxListAge, it has been the
-// key's home all the time for Window + 2 * MaxListAge.
+// A caller that got no answer may repeat its call with the same key through any
+// node. The repeat must reach the gate that ran the first call, or must not run
+// at all. So a gate runs a call with a key only if, according to lists no older
+// than MaxListAge, it has been the key's home without a break for Window + 2 *
+// MaxListAge.
 //
-// Why that is enough: say gate A ran the key at time T, and gate B is asked at
-// T + R, R at most Window. Both were, in their own eyes, the home all through
-// the stretch from T - 2 * MaxListAge to T, for B's proof reaches back from
-// T + R by Window + 2 * MaxListAge. Within it each looked at lists that the
-// platform published there or up to MaxListAge before, and a list has one home
-// for each key. So both can only be home if the platform's list changed there
-// and back while each saw but one side of it; a change and its reversal within
-// MaxListAge, missed by both, is what remains uncovered.
+// Why that is enough: say gate A ran the key at time T, and gate B is asked to
+// run it at T + R, with R at most Window. By their own lists, both were the
+// home during the whole interval from T - 2 * MaxListAge to T, because B checks
+// the past Window + 2 * MaxListAge before T + R. Within that interval each gate
+// read lists that the platform published during it or up to MaxListAge before
+// it, and a list has one home for each key. So both can only have been the home
+// if the platform's list changed and changed back during the interval while
+// each gate saw only one of the two states. A change and its reversal within
+// MaxListAge, missed by both gates, is the one case that isn't covered.
 //
-// A gate that has just started has no past and refuses all keys for that long.
-// It has forgotten what its last incarnation ran, and "not run" would be a
-// guess. The same rule covers the gate that wakes from a long pause: its list
-// is too old.
+// A gate that has just started has no record of past lists, and refuses all
+// keys for that long. It doesn't know what its previous incarnation ran, so the
+// answer "not run" would be a guess. The same rule covers a gate after a long
+// process pause: its list is too old.
 
 namespace hickorylift {
 
@@ -29,20 +31,20 @@
 
 constexpr unsigned ConflictStatus = 409;
 constexpr unsigned MismatchStatus = 422;
-constexpr Millis SoonAgain{500};
-constexpr Millis LaterAgain{5000};
+constexpr Millis RetryWhileRunning{500};
+constexpr Millis RetryLater{5000};
 const char StepName[] = "key-judge";
 
 template <typename Range>
 const Instance *homeAmong(const std::string &Key, const Range &Upstreams) {
   const Instance *Best = nullptr;
   uint64_t BestScore = 0;
-  for (const auto &One : Upstreams) {
+  for (const auto &Upstream : Upstreams) {
     const Instance *Candidate;
-    if constexpr (std::is_pointer_v<std::decay_t<decltype(One)>>)
-      Candidate = One;
+    if constexpr (std::is_pointer_v<std::decay_t<decltype(Upstream)>>)
+      Candidate = Upstream;
     else
-      Candidate = &One;
+      Candidate = &Upstream;
     uint64_t Score = rendezvousScore(Key, Candidate->Name);
     if (Best && Score <= BestScore)
       continue;
@@ -59,38 +61,38 @@
   return homeAmong(Key, Upstreams);
 }
 
-void IdempotencyChecker::setUpstreams(const std::vector<const Instance *> &New,
-                                      TimePoint Now) {
-  std::vector<Instance> Read;
-  for (const Instance *One : New)
-    Read.push_back(*One);
+void IdempotencyChecker::setUpstreams(
+    const std::vector<const Instance *> &NewUpstreams, TimePoint Now) {
+  std::vector<Instance> Copied;
+  for (const Instance *Upstream : NewUpstreams)
+    Copied.push_back(*Upstream);
   auto SameNames = [](const Instance &A, const Instance &B) {
     return A.Name == B.Name;
   };
   if (!this->FirstListAt)
     this->FirstListAt = Now;
-  else if (std::equal(Read.begin(), Read.end(), this->Upstreams.begin(),
+  else if (std::equal(Copied.begin(), Copied.end(), this->Upstreams.begin(),
                       this->Upstreams.end(), SameNames))
     return;
   else
     this->PastMemberships.push_back({std::move(this->Upstreams), Now});
-  this->Upstreams = std::move(Read);
+  this->Upstreams = std::move(Copied);
 }
 
-IdempotencyChecker::Result IdempotencyChecker::refuse(Decision What,
+IdempotencyChecker::Result IdempotencyChecker::refuse(Decision Action,
                                                       const std::string &Reason,
-                                                      Outcome Means,
+                                                      Outcome CallOutcome,
                                                       Millis RetryAfter,
                                                       unsigned Status) const {
-  Result Out;
-  Out.Action = What;
-  Out.RefusalDetails.What = Means;
-  Out.RefusalDetails.Reason = Reason;
-  Out.RefusalDetails.Step = StepName;
-  Out.RefusalDetails.Peer = this->Self;
-  Out.RefusalDetails.RetryAfter = RetryAfter;
-  Out.RefusalDetails.Status = Status;
-  return Out;
+  Result Refused;
+  Refused.Action = Action;
+  Refused.RefusalDetails.What = CallOutcome;
+  Refused.RefusalDetails.Reason = Reason;
+  Refused.RefusalDetails.Step = StepName;
+  Refused.RefusalDetails.Peer = this->Self;
+  Refused.RefusalDetails.RetryAfter = RetryAfter;
+  Refused.RefusalDetails.Status = Status;
+  return Refused;
 }
 
 std::optional<IdempotencyChecker::Result>
@@ -99,68 +101,68 @@
                               TimePoint Now) const {
   if (!this->Opts.Guards.SettledKeys)
     return std::nullopt;
-  auto NotNow = [&](const char *Reason) {
-    return this->refuse(Decision::Refuse, Reason, Outcome::NotRun, LaterAgain,
+  auto RefuseFor = [&](const char *Reason) {
+    return this->refuse(Decision::Refuse, Reason, Outcome::NotRun, RetryLater,
                         0);
   };
   if (!ListAge || *ListAge > this->Opts.MaxListAge)
-    return NotNow("key-list-too-old");
+    return RefuseFor("key-list-too-old");
   const Instance *Home = homeAmong(Key, this->Upstreams);
   if (!Home || Home->Name != this->Self)
-    return NotNow("not-the-key-home");
-  Millis Proof = Window + 2 * this->Opts.MaxListAge;
-  if (!this->FirstListAt || Now - *this->FirstListAt < Proof)
-    return NotNow("key-home-unsettled");
-  for (const PastMembership &One : this->PastMemberships) {
-    if (Now - One.ReplacedAt >= Proof)
+    return RefuseFor("not-the-key-home");
+  Millis RequiredTime = Window + 2 * this->Opts.MaxListAge;
+  if (!this->FirstListAt || Now - *this->FirstListAt < RequiredTime)
+    return RefuseFor("key-home-unsettled");
+  for (const PastMembership &Membership : this->PastMemberships) {
+    if (Now - Membership.ReplacedAt >= RequiredTime)
       continue;
-    const Instance *Then = homeAmong(Key, One.Upstreams);
-    if (!Then || Then->Name != this->Self)
-      return NotNow("key-home-unsettled");
+    const Instance *PastHome = homeAmong(Key, Membership.Upstreams);
+    if (!PastHome || PastHome->Name != this->Self)
+      return RefuseFor("key-home-unsettled");
   }
   return std::nullopt;
 }
 
 IdempotencyChecker::Result
-IdempotencyChecker::repeatResult(const KeyRecord &Of) const {
-  if (Of.CallState == State::Running)
+IdempotencyChecker::repeatResult(const KeyRecord &Record) const {
+  if (Record.CallState == State::Running)
     return this->refuse(Decision::Conflict, "key-running", Outcome::Unknown,
-                        SoonAgain, ConflictStatus);
-  if (Of.CallState == State::OutcomeUnknown)
+                        RetryWhileRunning, ConflictStatus);
+  if (Record.CallState == State::OutcomeUnknown)
     return this->refuse(Decision::Conflict, "key-outcome-unknown",
                         Outcome::Unknown, Millis(0), ConflictStatus);
-  if (!Of.HasBody)
+  if (!Record.HasBody)
     return this->refuse(Decision::Conflict, "key-answered-before",
                         Outcome::Unknown, Millis(0), ConflictStatus);
-  Result Out;
-  Out.Action = Decision::Replay;
-  Out.Head = Of.Head;
-  Out.Body = Of.Body;
-  return Out;
+  Result Stored;
+  Stored.Action = Decision::Replay;
+  Stored.Head = Record.Head;
+  Stored.Body = Record.Body;
+  return Stored;
 }
 
 IdempotencyChecker::Result
-IdempotencyChecker::check(const std::string &Key, uint64_t Fingerprint,
+IdempotencyChecker::check(const std::string &Key, uint64_t RequestFingerprint,
                           Millis Window, std::optional<Millis> ListAge,
                           TimePoint Now) {
-  // What is remembered stays true whatever the list says now.
+  // A remembered call is valid whatever the current list says.
   auto Found = this->Keys.find(Key);
   if (Found != this->Keys.end() && this->Opts.Guards.RememberKeys) {
-    if (Found->second.Fingerprint != Fingerprint)
+    if (Found->second.Fingerprint != RequestFingerprint)
       return this->refuse(Decision::Refuse, "key-of-another-request",
                           Outcome::NotRun, Millis(0), MismatchStatus);
     return this->repeatResult(Found->second);
   }
-  if (std::optional<Result> Unsettled =
+  if (std::optional<Result> Refused =
           this->checkHome(Key, Window, ListAge, Now))
-    return *Unsettled;
+    return *Refused;
   if (this->Keys.size() >= this->Opts.MaxKeys)
     return this->refuse(Decision::Refuse, "key-memory-full", Outcome::NotRun,
-                        LaterAgain, 0);
-  KeyRecord New;
-  New.Fingerprint = Fingerprint;
-  New.Window = Window;
-  this->Keys.emplace(Key, std::move(New));
+                        RetryLater, 0);
+  KeyRecord Record;
+  Record.Fingerprint = RequestFingerprint;
+  Record.Window = Window;
+  this->Keys.emplace(Key, std::move(Record));
   return {};
 }
 
@@ -170,17 +172,17 @@
   auto Found = this->Keys.find(Key);
   if (Found == this->Keys.end())
     return;
-  KeyRecord &Of = Found->second;
-  Of.CallState = State::Answered;
-  Of.Head = Head;
-  this->scheduleExpiry(Key, Of, Now + Of.Window);
+  KeyRecord &Record = Found->second;
+  Record.CallState = State::Answered;
+  Record.Head = Head;
+  this->scheduleExpiry(Key, Record, Now + Record.Window);
   bool Fits = Body.size() <= this->Opts.MaxStoredAnswerBytes &&
               this->ReplayBytes + Body.size() <= this->Opts.MaxReplayBytes;
   if (!Fits)
     return;
   this->ReplayBytes += Body.size();
-  Of.Body = std::move(Body);
-  Of.HasBody = true;
+  Record.Body = std::move(Body);
+  Record.HasBody = true;
 }
 
 void IdempotencyChecker::recordNotRun(const std::string &Key) {
@@ -198,15 +200,16 @@
   this->scheduleExpiry(Key, Found->second, Now + Found->second.Window);
 }
 
-void IdempotencyChecker::scheduleExpiry(const std::string &Key, KeyRecord &Of,
-                                        TimePoint At) {
-  Of.ExpiresAt = At;
-  this->ExpiryQueue.emplace(At, Key);
+void IdempotencyChecker::scheduleExpiry(const std::string &Key,
+                                        KeyRecord &Record, TimePoint Expiry) {
+  Record.ExpiresAt = Expiry;
+  this->ExpiryQueue.emplace(Expiry, Key);
 }
 
-void IdempotencyChecker::erase(std::map<std::string, KeyRecord>::iterator At) {
-  this->ReplayBytes -= At->second.Body.size();
-  this->Keys.erase(At);
+void IdempotencyChecker::erase(
+    std::map<std::string, KeyRecord>::iterator Position) {
+  this->ReplayBytes -= Position->second.Body.size();
+  this->Keys.erase(Position);
 }
 
 void IdempotencyChecker::expire(TimePoint Now) {
@@ -217,7 +220,8 @@
     if (Found != this->Keys.end() && Found->second.ExpiresAt <= Now)
       this->erase(Found);
   }
-  // The longest window that a service may have, and the proof's two lists.
+  // The longest window that a service may have, plus twice the age of a list,
+  // as in checkHome().
   constexpr std::chrono::hours LongestWindow{1};
   while (!this->PastMemberships.empty() &&
          Now - this->PastMemberships.front().ReplacedAt >
--- a/src/gate/IdempotencyChecker.h
+++ b/src/gate/IdempotencyChecker.h
@@ -9,51 +9,56 @@
 #include <map>
 #include <optional>
 
-// A KeyJudge decides whether a call with an idempotency key may run. Each key
-// has one home among the upstreams of its service, by rendezvous hashing over
-// the platform's list; the home's gate runs the call itself, so that the one
-// that remembers is the one that runs.
+// An IdempotencyChecker decides whether a call with an idempotency key may run.
+// Each key has one home among the upstreams of its service, which is chosen by
+// rendezvous hashing over the platform's list. The gate of the home runs the
+// call itself, so the gate that remembers a call is the one that ran it.
 //
-//   KeyJudge Judge(KeyJudge::Options(), "approval-2");
-//   Judge.members(Upstreams, Now);             // at each new list
-//   KeyJudge::Answer A = Judge.ask(Key, Fingerprint, Window, ListAge, Now);
-//   if (A.What == KeyJudge::Decision::Run) run();
+//   IdempotencyChecker Checker(IdempotencyChecker::Options(), "approval-2");
+//   Checker.setUpstreams(Upstreams, Now);      // at each new list
+//   IdempotencyChecker::Result Result =
+//       Checker.check(Key, Fingerprint, Window, ListAge, Now);
+//   if (Result.Action == IdempotencyChecker::Decision::Run)
+//     run();
 //   ...
-//   Judge.answered(Key, Head, Body, Now);      // or notRun(), or lost()
+//   Checker.recordAnswer(Key, Head, Body, Now);
+//   // or recordNotRun(Key), or recordOutcomeUnknown(Key, Now)
 //
-// docs/design/idempotency-keys.md says what is promised, and what is not.
+// docs/design/idempotency-keys.md describes what is guaranteed and what is not.
 
 namespace hickorylift {
 
-/// The home of a key; null where there are no upstreams. Leaving ones keep
-/// their keys until they are off the list.
+/// Returns the home of a key; null if there are no upstreams. Leaving upstreams
+/// keep their keys until they are removed from the list.
 const Instance *keyHome(const std::string &Key,
                         const std::vector<const Instance *> &Upstreams);
 
 class IdempotencyChecker {
 public:
   struct Options {
-    /// A list older than this is too old to judge by: another instance may
-    /// have become the home since.
+    /// A list older than this can't be used to determine the home of a key:
+    /// another instance may have become the home since.
     Millis MaxListAge{45000};
-    /// Keys remembered at once; a call with a new key is refused when full.
+    /// Maximum number of keys remembered at once; a call with a new key is
+    /// refused when the memory is full.
     size_t MaxKeys = 200000;
-    /// An answer is kept for replay up to this size, and all of them together
-    /// up to MaxReplayBytes; a longer one is remembered as answered only.
+    /// An answer is stored for replay up to this size, and all of them together
+    /// up to MaxReplayBytes. Of a longer answer only the fact that the call was
+    /// answered is remembered.
     size_t MaxStoredAnswerBytes = 64 * 1024;
     size_t MaxReplayBytes = 24u << 20;
     Safeguards Guards;
   };
 
   enum class Decision {
-    /// Not seen before within the window: it may run.
+    /// The key wasn't seen before within the window: the call may run.
     Run,
-    /// Not run by this judge, and not to be run now.
+    /// The call wasn't run by this gate, and must not be run now.
     Refuse,
-    /// Seen before; the answer is given again.
+    /// The key was seen before; the stored answer is sent again.
     Replay,
-    /// Seen before, and it is running, or nobody knows how it ended, or its
-    /// answer was too long to keep.
+    /// The key was seen before, and its call is still running, or its outcome
+    /// is unknown, or its answer was too long to store.
     Conflict,
   };
 
@@ -67,18 +72,19 @@
   IdempotencyChecker(Options Opts, std::string Self)
       : Opts(Opts), Self(std::move(Self)) {}
 
-  /// The service's upstreams of all data centres, as the newest lists say.
-  void setUpstreams(const std::vector<const Instance *> &Upstreams,
+  /// Sets the service's upstreams of all data centres, as the newest lists have
+  /// them.
+  void setUpstreams(const std::vector<const Instance *> &NewUpstreams,
                     TimePoint Now);
-  /// Fingerprint tells one request from another with the same key; Window is
-  /// how long the service's callers may repeat.
-  Result check(const std::string &Key, uint64_t Fingerprint, Millis Window,
-               std::optional<Millis> ListAge, TimePoint Now);
+  /// RequestFingerprint distinguishes different requests with the same key.
+  /// Window is how long the service's callers may repeat a call.
+  Result check(const std::string &Key, uint64_t RequestFingerprint,
+               Millis Window, std::optional<Millis> ListAge, TimePoint Now);
   void recordAnswer(const std::string &Key, const ResponseHead &Head,
                     std::string Body, TimePoint Now);
-  /// No byte of it reached the upstream: it may be asked again.
+  /// No byte of the call reached the upstream: it may be called again.
   void recordNotRun(const std::string &Key);
-  /// It may have run; nobody will ever know.
+  /// The call may have run, and its outcome can't be found out any more.
   void recordOutcomeUnknown(const std::string &Key, TimePoint Now);
   void expire(TimePoint Now);
 
@@ -97,16 +103,17 @@
     TimePoint ExpiresAt = TimePoint::max();
   };
 
-  Result refuse(Decision What, const std::string &Reason, Outcome Means,
+  Result refuse(Decision Action, const std::string &Reason, Outcome CallOutcome,
                 Millis RetryAfter, unsigned Status) const;
   std::optional<Result> checkHome(const std::string &Key, Millis Window,
                                   std::optional<Millis> ListAge,
                                   TimePoint Now) const;
-  Result repeatResult(const KeyRecord &Of) const;
-  void scheduleExpiry(const std::string &Key, KeyRecord &Of, TimePoint At);
-  void erase(std::map<std::string, KeyRecord>::iterator At);
+  Result repeatResult(const KeyRecord &Record) const;
+  void scheduleExpiry(const std::string &Key, KeyRecord &Record,
+                      TimePoint Expiry);
+  void erase(std::map<std::string, KeyRecord>::iterator Position);
 
-  /// One earlier membership, and when it was replaced.
+  /// A previous set of upstreams, and when it was replaced.
   struct PastMembership {
     std::vector<Instance> Upstreams;
     TimePoint ReplacedAt;
