--- a/src/gate/CrashDetector.cpp
+++ b/src/gate/CrashDetector.cpp
@@ -1,11 +1,11 @@
 #include "gate/CrashDetector.h"
 
-// An answer that is lost, a connection that is reset because the upstream is
-// full, and a crash look alike to one call: its connection ends. They differ in
-// what becomes of the port. So the first run that breaks asks for a connection;
-// if that is refused, the process is gone, and with it all that it ran. Runs
-// whose own connections have not ended yet are counted with the same crash,
-// once.
+// A lost answer, a connection that was reset because the upstream is
+// overloaded, and a crash look alike to a single call: its connection ends.
+// They differ in what happens to the port. So the first run that loses its
+// connection requests a new connection as a probe. If that is refused, the
+// process is gone together with all that it ran. Runs whose own connections
+// haven't ended yet are counted with the same crash, once.
 
 namespace hickorylift {
 
@@ -13,52 +13,57 @@
   auto Found = this->Runs.find(Id);
   if (Found == this->Runs.end())
     return std::nullopt;
-  Run Out = Found->second;
-  if (Out.Suspected && --this->SuspectRunCounts[Out.RequestFingerprint] == 0)
-    this->SuspectRunCounts.erase(Out.RequestFingerprint);
+  Run Taken = Found->second;
+  if (Taken.IsSuspect &&
+      --this->SuspectRunCounts[Taken.RequestFingerprint] == 0)
+    this->SuspectRunCounts.erase(Taken.RequestFingerprint);
   this->Runs.erase(Found);
-  return Out;
+  return Taken;
 }
 
-void CrashDetector::runStarted(const CallId &Id, const Fingerprint &Of,
-                               bool Suspected) {
+void CrashDetector::runStarted(const CallId &Id,
+                               const Fingerprint &RequestFingerprint,
+                               bool IsSuspect) {
   this->takeRun(Id);
-  this->Runs[Id] = {Of, Suspected};
-  if (Suspected)
-    ++this->SuspectRunCounts[Of];
+  this->Runs[Id] = {RequestFingerprint, IsSuspect};
+  if (IsSuspect)
+    ++this->SuspectRunCounts[RequestFingerprint];
 }
 
-// Two runs of one request point at the same one.
-bool CrashDetector::hasOtherSuspect(const Fingerprint &Than) const {
-  return this->SuspectRunCounts.size() > this->SuspectRunCounts.count(Than);
+// Several runs of the same request count as one suspect.
+bool CrashDetector::hasOtherSuspect(
+    const Fingerprint &RequestFingerprint) const {
+  return this->SuspectRunCounts.size() >
+         this->SuspectRunCounts.count(RequestFingerprint);
 }
 
 void CrashDetector::runAnswered(const CallId &Id, TimePoint Now) {
-  std::optional<Run> Was = this->takeRun(Id);
-  if (!Was)
+  std::optional<Run> Ended = this->takeRun(Id);
+  if (!Ended)
     return;
-  this->LastAnswered[Was->RequestFingerprint] = Now;
-  this->AnswersInOrder.emplace_back(Was->RequestFingerprint, Now);
+  this->LastAnswered[Ended->RequestFingerprint] = Now;
+  this->AnswersInOrder.emplace_back(Ended->RequestFingerprint, Now);
   if (this->AnswersInOrder.size() <= this->Opts.MaxRecentAnswers)
     return;
-  auto [Oldest, At] = this->AnswersInOrder.front();
+  auto [Oldest, AnsweredAt] = this->AnswersInOrder.front();
   this->AnswersInOrder.pop_front();
   if (auto Found = this->LastAnswered.find(Oldest);
-      Found != this->LastAnswered.end() && Found->second == At)
+      Found != this->LastAnswered.end() && Found->second == AnsweredAt)
     this->LastAnswered.erase(Found);
 }
 
 void CrashDetector::removeRun(const CallId &Id) { this->takeRun(Id); }
 
 void CrashDetector::runCancelled(const CallId &Id, TimePoint Now) {
-  std::optional<Run> Was = this->takeRun(Id);
+  std::optional<Run> Cancelled = this->takeRun(Id);
   while (!this->CancelledRuns.empty() &&
          Now - this->CancelledRuns.front().CancelledAt >
              this->Opts.CancelledRunGrace)
     this->CancelledRuns.pop_front();
-  // One that broke is counted with the crash, or was not one's.
-  if (Was && !Was->UpstreamCrashed)
-    this->CancelledRuns.push_back({Id, Was->RequestFingerprint, Now});
+  // A run during which the upstream crashed was already counted with that
+  // crash.
+  if (Cancelled && !Cancelled->UpstreamCrashed)
+    this->CancelledRuns.push_back({Id, Cancelled->RequestFingerprint, Now});
 }
 
 CrashDetector::Action CrashDetector::connectionLost(const CallId &Id,
@@ -81,42 +86,43 @@
 
 std::vector<CallId> CrashDetector::takeBrokenRuns() {
   this->ProbedAt.reset();
-  std::vector<CallId> Out;
-  for (const auto &[Id, One] : this->Runs)
-    if (One.ConnectionLost)
-      Out.push_back(Id);
-  for (const CallId &Id : Out)
+  std::vector<CallId> BrokenRuns;
+  for (const auto &[Id, CurrentRun] : this->Runs)
+    if (CurrentRun.ConnectionLost)
+      BrokenRuns.push_back(Id);
+  for (const CallId &Id : BrokenRuns)
     this->takeRun(Id);
-  return Out;
+  return BrokenRuns;
 }
 
 std::vector<CallId> CrashDetector::upstreamAlive() {
   return this->takeBrokenRuns();
 }
 
-bool CrashDetector::wasAnsweredRecently(const Fingerprint &Of,
+bool CrashDetector::wasAnsweredRecently(const Fingerprint &RequestFingerprint,
                                         TimePoint Now) const {
-  auto Found = this->LastAnswered.find(Of);
+  auto Found = this->LastAnswered.find(RequestFingerprint);
   return Found != this->LastAnswered.end() &&
          Now - Found->second <= this->Opts.RecentAnswerWindow;
 }
 
 CrashDetector::Crash CrashDetector::upstreamCrashed(TimePoint Now) {
-  Crash Out;
-  for (auto &[Id, One] : this->Runs) {
-    bool Counts = !One.UpstreamCrashed &&
-                  !this->wasAnsweredRecently(One.RequestFingerprint, Now);
-    One.UpstreamCrashed = true;
-    if (Counts)
-      Out.Suspects.push_back(Id);
+  Crash Result;
+  for (auto &[Id, CurrentRun] : this->Runs) {
+    bool IsSuspect =
+        !CurrentRun.UpstreamCrashed &&
+        !this->wasAnsweredRecently(CurrentRun.RequestFingerprint, Now);
+    CurrentRun.UpstreamCrashed = true;
+    if (IsSuspect)
+      Result.Suspects.push_back(Id);
   }
-  for (const CancelledRun &One : this->CancelledRuns)
-    if (Now - One.CancelledAt <= this->Opts.CancelledRunGrace &&
-        !this->wasAnsweredRecently(One.RequestFingerprint, Now))
-      Out.Suspects.push_back(One.Id);
+  for (const CancelledRun &Cancelled : this->CancelledRuns)
+    if (Now - Cancelled.CancelledAt <= this->Opts.CancelledRunGrace &&
+        !this->wasAnsweredRecently(Cancelled.RequestFingerprint, Now))
+      Result.Suspects.push_back(Cancelled.Id);
   this->CancelledRuns.clear();
-  Out.BrokenRuns = this->takeBrokenRuns();
-  return Out;
+  Result.BrokenRuns = this->takeBrokenRuns();
+  return Result;
 }
 
 } // namespace hickorylift
--- a/src/gate/CrashDetector.h
+++ b/src/gate/CrashDetector.h
@@ -9,66 +9,74 @@
 #include <set>
 #include <vector>
 
-// A RunWatch knows what runs at one upstream, and tells a crash of it from the
-// end of one connection.
+// A CrashDetector tracks the calls that run at one upstream, and distinguishes
+// a crash of the upstream from the loss of a single connection.
 //
-//   RunWatch Watch{RunWatch::Options()};
-//   Watch.started(Id, Print, /*Suspected=*/false);
-//   if (Watch.broke(Id, Now) == RunWatch::Action::Probe)
-//     connect to the upstream, and ask crashed() or settle() by what comes
-//   Watch.answered(Id, Now);
+//   CrashDetector Detector{CrashDetector::Options()};
+//   Detector.runStarted(Id, RequestFingerprint, /*IsSuspect=*/false);
+//   if (Detector.connectionLost(Id, Now) == CrashDetector::Action::Probe)
+//     // Connect to the upstream, then call upstreamCrashed() if it refuses the
+//     // connection and upstreamAlive() if not.
+//   Detector.runAnswered(Id, Now);
 
 namespace hickorylift {
 
 class CrashDetector {
 public:
   struct Options {
-    /// A run whose connection ended waits for so long to hear whether its
-    /// upstream still takes connections. Next to it that is a moment; one that
-    /// does not say so in time counts as alive.
+    /// How long a run that lost its connection waits to find out whether its
+    /// upstream still accepts connections. The upstream is on the same machine,
+    /// so this takes a moment; an upstream that doesn't answer in time counts
+    /// as alive.
     Millis ProbeTimeout{100};
-    /// What was broken off counts as running for so long: its upstream may not
-    /// have seen yet that nobody waits for it.
+    /// How long a cancelled run still counts as running: its upstream may not
+    /// have noticed yet that the call was cancelled.
     Millis CancelledRunGrace{250};
-    /// A request that was answered here within this is no suspect: it ran to
-    /// its end where others crash at once.
+    /// A request that was answered here within this time isn't a suspect: it
+    /// ran to its end, while a crashing request would have crashed the upstream
+    /// at once.
     Millis RecentAnswerWindow{60 * 1000};
-    /// Answers remembered for that.
+    /// Number of answers remembered for RecentAnswerWindow.
     size_t MaxRecentAnswers = 4096;
   };
 
-  /// What is to be done about a run whose connection ended.
+  /// What to do about a run that lost its connection.
   enum class Action {
-    /// Find out whether the upstream takes connections.
+    /// Probe the upstream, to find out whether it accepts connections.
     Probe,
-    /// That is being found out.
+    /// Wait for the probe that is already under way.
     Wait,
-    /// It ended with a crash that is known.
+    /// The run ended with a crash that is already known, so no probe is needed.
     AlreadyCrashed,
   };
 
   explicit CrashDetector(Options Opts) : Opts(Opts) {}
 
-  /// Suspected: no suspect of another name may run beside it.
-  void runStarted(const CallId &Id, const Fingerprint &Of, bool Suspected);
+  /// A run has started. IsSuspect: its request is a suspect, so no run of
+  /// another suspect may be started at the same time.
+  void runStarted(const CallId &Id, const Fingerprint &RequestFingerprint,
+                  bool IsSuspect);
   void runAnswered(const CallId &Id, TimePoint Now);
-  /// It is over and shows nothing: it did not run, or its answer was spoilt.
+  /// Removes a run that says nothing about its request: it did not run, or its
+  /// answer was damaged.
   void removeRun(const CallId &Id);
-  /// It was broken off from here.
+  /// This gate cancelled the run.
   void runCancelled(const CallId &Id, TimePoint Now);
   Action connectionLost(const CallId &Id, TimePoint Now);
 
-  /// Whether a suspect runs that is another request than this.
-  bool hasOtherSuspect(const Fingerprint &Than) const;
-  /// Whether anything waits for what a probe finds.
+  /// Whether another suspect than this request is running.
+  bool hasOtherSuspect(const Fingerprint &RequestFingerprint) const;
+  /// Whether a run waits for the result of a probe.
   bool isProbing() const { return this->ProbedAt.has_value(); }
-  /// Whether the answer about the upstream has been missing for too long.
+  /// Whether the result of the probe has been missing for longer than
+  /// ProbeTimeout.
   bool isProbeOverdue(TimePoint Now) const;
-  /// The upstream takes connections, or nobody knows: what waited for that has
-  /// lost its connection only.
+  /// The upstream accepts connections, or its state can't be found out. Returns
+  /// the runs that waited for the probe: they lost only their connections.
   std::vector<CallId> upstreamAlive();
-  /// The upstream is gone. What ran there, and was not answered here lately, is
-  /// Suspects; what waited for the news is Broken.
+  /// The upstream has crashed. Suspects are the runs that were running there
+  /// and whose requests weren't answered here recently; BrokenRuns are those
+  /// that waited for the probe.
   struct Crash {
     std::vector<CallId> Suspects;
     std::vector<CallId> BrokenRuns;
@@ -78,10 +86,10 @@
 private:
   struct Run {
     Fingerprint RequestFingerprint;
-    bool Suspected = false;
-    // Its connection ended, and why is not known yet.
+    bool IsSuspect = false;
+    // The run lost its connection, for a reason that isn't known yet.
     bool ConnectionLost = false;
-    // Its upstream crashed under it; its connection has not ended yet.
+    // The upstream crashed during the run, and the connection hasn't ended yet.
     bool UpstreamCrashed = false;
   };
   struct CancelledRun {
@@ -91,16 +99,17 @@
   };
 
   std::optional<Run> takeRun(const CallId &Id);
-  bool wasAnsweredRecently(const Fingerprint &Of, TimePoint Now) const;
+  bool wasAnsweredRecently(const Fingerprint &RequestFingerprint,
+                           TimePoint Now) const;
   std::vector<CallId> takeBrokenRuns();
 
   Options Opts;
   std::map<CallId, Run> Runs;
-  // How many runs there are of each suspect.
+  // Number of runs for each suspect.
   std::map<Fingerprint, size_t> SuspectRunCounts;
   std::deque<CancelledRun> CancelledRuns;
   std::optional<TimePoint> ProbedAt;
-  // When a request was answered last, and all answers in their order.
+  // Time of each request's last answer, and all answers in their order.
   std::map<Fingerprint, TimePoint> LastAnswered;
   std::deque<std::pair<Fingerprint, TimePoint>> AnswersInOrder;
 };
--- a/src/gate/CrashDetectorTest.cpp
+++ b/src/gate/CrashDetectorTest.cpp
@@ -14,143 +14,145 @@
 
 const TimePoint Start = TimePoint(std::chrono::hours(1));
 
-struct WatchRow {
-  const char *What;
-  // "start:1" (a call and its request), "suspect:1", "answer:1", "forget:1",
-  // "cancel:1", "broke:1", "gone", "alive" and "wait:MILLISECONDS".
+struct DetectorRow {
+  const char *Name;
+  // The steps are "start:1" (a call and its request), "suspect:1", "answer:1",
+  // "forget:1", "cancel:1", "broke:1", "gone", "alive" and "wait:MILLISECONDS".
   const char *Steps;
-  // Of the last "gone" or "alive": the calls that become suspects, and that are
-  // told.
+  // The result of the last "gone" or "alive": the calls that become suspects,
+  // and those that are reported as broken.
   const char *Suspects;
-  const char *Told;
+  const char *BrokenRuns;
 };
 
-std::ostream &operator<<(std::ostream &Out, const WatchRow &Row) {
-  return Out << Row.What;
+std::ostream &operator<<(std::ostream &Out, const DetectorRow &Row) {
+  return Out << Row.Name;
 }
 
-const std::vector<WatchRow> WatchRows = {
-    {"a connection ends and the upstream is there", "start:1 broke:1 alive", "",
+const std::vector<DetectorRow> DetectorRows = {
+    {"a connection ends and the upstream is alive", "start:1 broke:1 alive", "",
      "1"},
-    {"it is gone", "start:1 broke:1 gone", "1", "1"},
-    {"what ran beside it is counted with it",
+    {"the upstream crashed", "start:1 broke:1 gone", "1", "1"},
+    {"other runs at the time are counted with the crash",
      "start:1 start:2 start:3 broke:1 broke:3 gone", "123", "13"},
-    {"and not once more when its own connection ends",
+    {"a run is not counted again when its own connection ends",
      "start:1 start:2 broke:1 gone broke:2 gone", "", ""},
-    {"what was answered before did not run",
+    {"an answered call was not running",
      "start:1 start:2 answer:2 broke:1 "
      "gone",
      "1", "1"},
-    {"what turned out not to have run did not",
+    {"a removed run was not running",
      "start:1 start:2 forget:2 "
      "broke:1 gone",
      "1", "1"},
-    {"a request that was answered here lately is no suspect",
+    {"a request that was answered here recently is no suspect",
      "start:2 answer:2 start:1 start:2 broke:1 gone", "1", "1"},
-    {"long ago does not count",
+    {"an answer from long ago does not count",
      "start:2 answer:2 wait:61000 start:1 start:2 broke:1 gone", "12", "1"},
-    {"its caller had just left",
+    {"a run that was just cancelled still counts",
      "start:1 cancel:1 start:2 wait:40 broke:2 gone", "21", "2"},
-    {"its caller had left long before",
+    {"a run that was cancelled long before does not count",
      "start:1 cancel:1 start:2 wait:300 broke:2 gone", "2", "2"},
     {"the next process crashes as well",
      "start:1 broke:1 gone start:2 broke:2 gone", "2", "2"},
-    {"a lost answer before is nothing against it",
+    {"an earlier lost answer does not make it a suspect",
      "start:1 broke:1 alive start:2 broke:2 gone", "2", "2"},
 };
 
-std::string digits(const std::vector<CallId> &Of) {
-  std::string Out;
-  for (const CallId &Id : Of)
-    Out += std::to_string(Id.Seq);
-  return Out;
+std::string digits(const std::vector<CallId> &Ids) {
+  std::string Digits;
+  for (const CallId &Id : Ids)
+    Digits += std::to_string(Id.Seq);
+  return Digits;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(RunWatching)
+BOOST_AUTO_TEST_SUITE(CrashDetection)
 
-// An upstream crashes under several calls, or one connection of it ends. Only
-// after a crash may what ran be suspected: who is suspected for a lost answer
-// could be refused for it, and who is not goes on to crash the next.
-BOOST_DATA_TEST_CASE(WhatRanWhenItCrashed, data::make(WatchRows), Row) {
-  CrashDetector Watch{CrashDetector::Options()};
+// Guards against suspecting a request because of a lost answer, for which it
+// could be refused, and against missing one after a crash, which would go on to
+// crash the next upstream. Only runs at the time of a crash become suspects.
+BOOST_DATA_TEST_CASE(OnlyRunsDuringACrashBecomeSuspects,
+                     data::make(DetectorRows), Row) {
+  CrashDetector Detector{CrashDetector::Options()};
   TimePoint Now = Start;
-  std::string Suspects, Told;
+  std::string Suspects, BrokenRuns;
   std::istringstream In(Row.Steps);
   for (std::string Step; In >> Step;) {
-    std::string What = Step.substr(0, Step.find(':'));
-    uint64_t Of = Step.find(':') == std::string::npos
-                      ? 0
-                      : std::stoull(Step.substr(Step.find(':') + 1));
-    CallId Id{1, Of};
+    std::string Action = Step.substr(0, Step.find(':'));
+    uint64_t Number = Step.find(':') == std::string::npos
+                          ? 0
+                          : std::stoull(Step.substr(Step.find(':') + 1));
+    CallId Id{1, Number};
     Now += Millis(1);
-    if (What == "start")
-      Watch.runStarted(Id, {Of}, /*Suspected=*/false);
-    else if (What == "answer")
-      Watch.runAnswered(Id, Now);
-    else if (What == "forget")
-      Watch.removeRun(Id);
-    else if (What == "cancel")
-      Watch.runCancelled(Id, Now);
-    else if (What == "broke")
-      Watch.connectionLost(Id, Now);
-    else if (What == "wait")
-      Now += Millis(Of);
-    else if (What == "alive") {
+    if (Action == "start")
+      Detector.runStarted(Id, {Number}, /*IsSuspect=*/false);
+    else if (Action == "answer")
+      Detector.runAnswered(Id, Now);
+    else if (Action == "forget")
+      Detector.removeRun(Id);
+    else if (Action == "cancel")
+      Detector.runCancelled(Id, Now);
+    else if (Action == "broke")
+      Detector.connectionLost(Id, Now);
+    else if (Action == "wait")
+      Now += Millis(Number);
+    else if (Action == "alive") {
       Suspects.clear();
-      Told = digits(Watch.upstreamAlive());
+      BrokenRuns = digits(Detector.upstreamAlive());
     } else {
-      CrashDetector::Crash Crash = Watch.upstreamCrashed(Now);
+      CrashDetector::Crash Crash = Detector.upstreamCrashed(Now);
       Suspects = digits(Crash.Suspects);
-      Told = digits(Crash.BrokenRuns);
+      BrokenRuns = digits(Crash.BrokenRuns);
     }
   }
   BOOST_TEST(Suspects == Row.Suspects);
-  BOOST_TEST(Told == Row.Told);
+  BOOST_TEST(BrokenRuns == Row.BrokenRuns);
 }
 
-// Nine connections end in one moment. One question about the upstream is
-// enough, and one that is never answered counts as "alive".
-BOOST_AUTO_TEST_CASE(OneProbeForAll) {
-  CrashDetector Watch{CrashDetector::Options()};
+// Nine connections end at the same moment. One probe of the upstream is enough,
+// and a probe without an answer counts as "alive".
+BOOST_AUTO_TEST_CASE(AllBrokenRunsShareOneProbe) {
+  CrashDetector Detector{CrashDetector::Options()};
   for (uint64_t I = 1; I <= 9; ++I)
-    Watch.runStarted({1, I}, {I}, false);
+    Detector.runStarted({1, I}, {I}, false);
   BOOST_TEST(
-      (Watch.connectionLost({1, 1}, Start) == CrashDetector::Action::Probe));
+      (Detector.connectionLost({1, 1}, Start) == CrashDetector::Action::Probe));
   for (uint64_t I = 2; I <= 9; ++I)
-    BOOST_TEST(
-        (Watch.connectionLost({1, I}, Start) == CrashDetector::Action::Wait));
-  BOOST_TEST(!Watch.isProbeOverdue(Start + Millis(100)));
-  BOOST_TEST(Watch.isProbeOverdue(Start + Millis(101)));
-  BOOST_TEST(Watch.upstreamAlive().size() == 9u);
-  BOOST_TEST(!Watch.isProbeOverdue(Start + Millis(500)));
+    BOOST_TEST((Detector.connectionLost({1, I}, Start) ==
+                CrashDetector::Action::Wait));
+  BOOST_TEST(!Detector.isProbeOverdue(Start + Millis(100)));
+  BOOST_TEST(Detector.isProbeOverdue(Start + Millis(101)));
+  BOOST_TEST(Detector.upstreamAlive().size() == 9u);
+  BOOST_TEST(!Detector.isProbeOverdue(Start + Millis(500)));
 }
 
-// What its connection still has to say after the crash is told at once.
-BOOST_AUTO_TEST_CASE(LateEndsBelongToTheCrash) {
-  CrashDetector Watch{CrashDetector::Options()};
-  Watch.runStarted({1, 1}, {1}, true);
-  Watch.runStarted({1, 2}, {2}, false);
-  Watch.connectionLost({1, 2}, Start);
-  Watch.upstreamCrashed(Start);
-  BOOST_TEST((Watch.connectionLost({1, 1}, Start) ==
+// A connection that ends after the crash was reported must not start another
+// probe.
+BOOST_AUTO_TEST_CASE(LateConnectionLossBelongsToTheCrash) {
+  CrashDetector Detector{CrashDetector::Options()};
+  Detector.runStarted({1, 1}, {1}, true);
+  Detector.runStarted({1, 2}, {2}, false);
+  Detector.connectionLost({1, 2}, Start);
+  Detector.upstreamCrashed(Start);
+  BOOST_TEST((Detector.connectionLost({1, 1}, Start) ==
               CrashDetector::Action::AlreadyCrashed));
-  BOOST_TEST(!Watch.hasOtherSuspect({9}));
+  BOOST_TEST(!Detector.hasOtherSuspect({9}));
 }
 
-// Answers remembered are bounded, however many there are.
-BOOST_AUTO_TEST_CASE(OldAnswersAreForgotten) {
+// The number of remembered answers is bounded, however many there are.
+BOOST_AUTO_TEST_CASE(OldestAnswersAreRemoved) {
   CrashDetector::Options Opts;
   Opts.MaxRecentAnswers = 10;
-  CrashDetector Watch(Opts);
+  CrashDetector Detector(Opts);
   for (uint64_t I = 1; I <= 100; ++I) {
-    Watch.runStarted({1, I}, {I}, false);
-    Watch.runAnswered({1, I}, Start);
+    Detector.runStarted({1, I}, {I}, false);
+    Detector.runAnswered({1, I}, Start);
   }
-  Watch.runStarted({2, 1}, {1}, false);
-  Watch.runStarted({2, 100}, {100}, false);
-  BOOST_TEST(Watch.upstreamCrashed(Start).Suspects.size() == 1u);
+  Detector.runStarted({2, 1}, {1}, false);
+  Detector.runStarted({2, 100}, {100}, false);
+  BOOST_TEST(Detector.upstreamCrashed(Start).Suspects.size() == 1u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
