--- a/src/gate/TransferScheduler.h
+++ b/src/gate/TransferScheduler.h
@@ -9,43 +9,47 @@
 #include <map>
 #include <vector>
 
-// TransferTurns lets a few long bodies at a time come to a gate.
+// A TransferScheduler limits how many long bodies are sent to a gate at the
+// same time.
 //
-// All that comes to a gate shares its machine's link. Nine bodies of 60 KB that
-// are sent together put a second's worth of a link of 5 Mbit/s into its queue:
-// every short call behind them is late, and the links look silent. Sent in
-// turn, each body arrives sooner in the mean, the last no later, and a short
-// call waits for two bodies at most.
+// All data that is sent to a gate shares the link of its machine. Nine bodies
+// of 60 KB that are sent together fill the queue of a link of 5 Mbit/s for a
+// second: every short call behind them is late, and the links look
+// unresponsive. When the bodies are sent two at a time, they arrive sooner on
+// average, the last one arrives no later, and a short call waits for two bodies
+// at most.
 //
-//   TransferTurns Turns(TransferTurns::Options());
-//   if (Turns.ask(Id, Now)) tellEntryToSend(Id);
-//   Turns.ended(Id, Now);                     // or forget(Id): given up
-//   for (const CallId &Next : Turns.next(Now)) tellEntryToSend(Next);
+//   TransferScheduler Scheduler(TransferScheduler::Options());
+//   if (Scheduler.request(Id, Now))
+//     askEntryToSend(Id);
+//   Scheduler.finished(Id, Now);              // or cancel(Id)
+//   for (const CallId &Id : Scheduler.startNext(Now))
+//     askEntryToSend(Id);
 
 namespace hickorylift {
 
 class TransferScheduler {
 public:
   struct Options {
-    /// Bodies on their way at once. One alone would leave the link idle while
-    /// the next is told.
+    /// Maximum number of bodies in transfer at the same time. With only one,
+    /// the link would be idle until the next entry has been asked to send.
     size_t MaxConcurrent = 2;
-    /// A body that is still not whole after this keeps no turn: its entry may
-    /// be gone, or on a slower link than ours. Much longer than a body takes on
-    /// a full link of ours, or there would soon be more than AtOnce: with 250
-    /// ms, a call of 1 KB was 52 ms on its way to gates with links of 7 Mbit/s,
-    /// and 40 with this.
+    /// A body that isn't complete after this time loses its slot: its entry may
+    /// be gone, or on a slower link than this gate. Much longer than a body
+    /// takes on a full link of this gate, or there would soon be more than
+    /// MaxConcurrent transfers: with 250 ms, a call of 1 KB took 52 ms to gates
+    /// with links of 7 Mbit/s, and 40 ms with this value.
     Millis SlotTimeout{1000};
-    /// Weight of the newest body in the time that one takes, and the time in
-    /// which what is known of it halves: when the link is free again, nobody is
-    /// there to show it.
+    /// Weight of the newest body in the mean transfer time, and the time after
+    /// which the mean is halved: when the link is free again, there may be no
+    /// transfer that would show it.
     double NewestWeight = 0.2;
     Millis HalfLife{1000};
   };
 
   explicit TransferScheduler(Options Opts) : Opts(Opts) {}
 
-  /// Whether the body may come now; if not, its turn comes by next().
+  /// Whether the body may be sent now; if not, startNext() returns it later.
   bool request(const CallId &Id, TimePoint Now) {
     this->expireSlow(Now);
     if (this->ActiveSince.size() < this->Opts.MaxConcurrent &&
@@ -57,7 +61,7 @@
     return false;
   }
 
-  /// The body is whole.
+  /// The body has arrived completely.
   void finished(const CallId &Id, TimePoint Now) {
     if (auto Found = this->ActiveSince.find(Id);
         Found != this->ActiveSince.end())
@@ -65,63 +69,68 @@
     this->cancel(Id);
   }
 
-  /// Nobody waits for the body any more.
+  /// The body is no longer needed.
   void cancel(const CallId &Id) {
     if (this->ActiveSince.erase(Id) == 0)
       std::erase(this->Waiting, Id);
   }
 
-  /// What a body has usually taken of late, once it was its turn.
+  /// Mean time that recent bodies took, from the start of the transfer, lowered
+  /// with the time since the last one.
   Clock::duration usualTime(TimePoint Now) const {
     return std::chrono::duration_cast<Clock::duration>(
         this->MeanTime * std::exp2(-Seconds(Now - this->MeanUpdatedAt) /
                                    Seconds(this->Opts.HalfLife)));
   }
 
-  /// In what time a body would be whole, were it asked for now.
+  /// Expected time until a body is complete if it were requested now.
   Clock::duration expectedTime(TimePoint Now) const {
-    auto Before = static_cast<int64_t>(this->Waiting.size());
+    auto Ahead = static_cast<int64_t>(this->Waiting.size());
     return this->usualTime(Now) +
-           this->usualTime(Now) * Before /
+           this->usualTime(Now) * Ahead /
                static_cast<int64_t>(this->Opts.MaxConcurrent);
   }
 
-  /// Whose turn it has become, in the order in which they asked.
+  /// Starts the transfers that now have a free slot, and returns their calls in
+  /// the order of their requests.
   std::vector<CallId> startNext(TimePoint Now) {
     this->expireSlow(Now);
-    std::vector<CallId> Out;
+    std::vector<CallId> Started;
     while (!this->Waiting.empty() &&
            this->ActiveSince.size() < this->Opts.MaxConcurrent) {
-      Out.push_back(this->Waiting.front());
+      Started.push_back(this->Waiting.front());
       this->ActiveSince[this->Waiting.front()] = Now;
       this->Waiting.pop_front();
     }
-    return Out;
+    return Started;
   }
 
 private:
   using Seconds = std::chrono::duration<double>;
 
-  void recordTime(Clock::duration Took, TimePoint Now) {
-    Seconds Known = this->usualTime(Now);
-    this->MeanTime = Known + (Seconds(Took) - Known) * this->Opts.NewestWeight;
+  void recordTime(Clock::duration TransferTime, TimePoint Now) {
+    Seconds Mean = this->usualTime(Now);
+    this->MeanTime =
+        Mean + (Seconds(TransferTime) - Mean) * this->Opts.NewestWeight;
     this->MeanUpdatedAt = Now;
   }
 
   void expireSlow(TimePoint Now) {
-    for (auto At = this->ActiveSince.begin(); At != this->ActiveSince.end();) {
-      bool Slow = Now - At->second > this->Opts.SlotTimeout;
-      if (Slow)
-        this->recordTime(Now - At->second, Now);
-      At = Slow ? this->ActiveSince.erase(At) : std::next(At);
+    for (auto Position = this->ActiveSince.begin();
+         Position != this->ActiveSince.end();) {
+      bool IsSlow = Now - Position->second > this->Opts.SlotTimeout;
+      if (IsSlow)
+        this->recordTime(Now - Position->second, Now);
+      Position =
+          IsSlow ? this->ActiveSince.erase(Position) : std::next(Position);
     }
   }
 
   Options Opts;
-  // Since when each is on its way.
+  // Start time of each transfer.
   std::map<CallId, TimePoint> ActiveSince;
   std::deque<CallId> Waiting;
-  // From a body's turn until it is whole.
+  // Mean time from the start of a transfer until the body is complete.
   Seconds MeanTime{0};
   TimePoint MeanUpdatedAt;
 };
