--- a/src/quarantine/Codec.cpp
+++ b/src/quarantine/Codec.cpp
@@ -2,16 +2,16 @@
 
 #include <algorithm>
 
-// Clocks of nodes differ, so times go over a link as ages. Each hop adds what
-// it takes, milliseconds, to when something seems to have been.
+// The clocks of the nodes differ, so times are sent as ages. Each hop delays
+// the decoded time by its transmission time, some milliseconds.
 
 namespace hickorylift {
 
 namespace {
 
-constexpr size_t MaxText = 160;
+constexpr size_t MaxDescriptionLength = 160;
 constexpr size_t MaxRecords = 100000;
-// An age beyond this is rubbish.
+// A higher age is taken for invalid and cut to this.
 constexpr Millis MaxAge{7 * 24 * 60 * 60 * 1000LL};
 
 uint32_t ageOf(TimePoint At, TimePoint Now) {
@@ -26,40 +26,41 @@
 } // namespace
 
 wire::SpreadFrameT
-encodeRecords(const std::vector<const Quarantine::Record *> &Which,
+encodeRecords(const std::vector<const Quarantine::Record *> &Records,
               TimePoint Now) {
-  wire::QuarantineT Out;
-  for (const Quarantine::Record *Of : Which) {
-    auto One = std::make_unique<wire::QuarantineRecordT>();
-    One->fingerprint = Of->RequestFingerprint.Hash;
-    One->request = Of->Description;
-    for (const Quarantine::Crash &Crash : Of->Crashes)
-      One->crashes.emplace_back(Crash.Id, ageOf(Crash.At, Now),
-                                Crash.OnlySuspect, Crash.Cleared,
-                                Crash.ServiceHash);
-    Out.records.push_back(std::move(One));
+  wire::QuarantineT Message;
+  for (const Quarantine::Record *Record : Records) {
+    auto Encoded = std::make_unique<wire::QuarantineRecordT>();
+    Encoded->fingerprint = Record->RequestFingerprint.Hash;
+    Encoded->request = Record->Description;
+    for (const Quarantine::Crash &Crash : Record->Crashes)
+      Encoded->crashes.emplace_back(Crash.Id, ageOf(Crash.At, Now),
+                                    Crash.OnlySuspect, Crash.Cleared,
+                                    Crash.ServiceHash);
+    Message.records.push_back(std::move(Encoded));
   }
   wire::SpreadFrameT Frame;
-  Frame.payload.Set(std::move(Out));
+  Frame.payload.Set(std::move(Message));
   return Frame;
 }
 
-std::vector<Quarantine::Record> decodeRecords(const wire::QuarantineT &Said,
+std::vector<Quarantine::Record> decodeRecords(const wire::QuarantineT &Received,
                                               TimePoint Now) {
-  std::vector<Quarantine::Record> Out;
-  for (const auto &One : Said.records) {
-    if (!One || Out.size() >= MaxRecords)
+  std::vector<Quarantine::Record> Records;
+  for (const auto &Encoded : Received.records) {
+    if (!Encoded || Records.size() >= MaxRecords)
       continue;
-    Quarantine::Record Of;
-    Of.RequestFingerprint = {One->fingerprint};
-    Of.Description = One->request.substr(0, MaxText);
-    for (const wire::QuarantineCrash &Crash : One->crashes)
-      if (Of.Crashes.size() < Quarantine::MaxCrashesPerRecord)
-        Of.Crashes.push_back({Crash.id(), timeOf(Crash.age_ms(), Now),
-                              Crash.alone(), Crash.cleared(), Crash.service()});
-    Out.push_back(std::move(Of));
+    Quarantine::Record Decoded;
+    Decoded.RequestFingerprint = {Encoded->fingerprint};
+    Decoded.Description = Encoded->request.substr(0, MaxDescriptionLength);
+    for (const wire::QuarantineCrash &Crash : Encoded->crashes)
+      if (Decoded.Crashes.size() < Quarantine::MaxCrashesPerRecord)
+        Decoded.Crashes.push_back({Crash.id(), timeOf(Crash.age_ms(), Now),
+                                   Crash.alone(), Crash.cleared(),
+                                   Crash.service()});
+    Records.push_back(std::move(Decoded));
   }
-  return Out;
+  return Records;
 }
 
 } // namespace hickorylift
--- a/src/quarantine/Fingerprint.cpp
+++ b/src/quarantine/Fingerprint.cpp
@@ -3,17 +3,18 @@
 #include "base/Hash.h"
 #include "config/Config.h"
 
-// What makes two attempts the same request. Whatever names the attempt (its id,
-// what is left of its time, the node that it came in at) must stay out, or each
-// would be a request of its own. Whatever an upstream may crash on should be
-// in; header fields other than the host's and the customer's are not, so that a
-// caller's trace id cannot hide it.
+// The fingerprint decides which attempts count as the same request. Whatever
+// identifies the attempt (its id, the time left until its deadline, the node at
+// which it entered) is left out, or each attempt would count as a request of
+// its own. Whatever may make an upstream crash should be included. Header
+// fields other than the host's and the customer's are left out, so that a
+// changing field such as a caller's trace id can't hide a request.
 
 namespace hickorylift {
 
 namespace {
 
-constexpr size_t MaxDescribed = 160;
+constexpr size_t MaxDescriptionLength = 160;
 
 } // namespace
 
@@ -27,19 +28,19 @@
 Fingerprint computeFingerprint(const RequestHead &Head,
                                const std::string &Customer,
                                std::string_view Body) {
-  uint64_t Sum = 0;
+  uint64_t Hash = 0;
   for (const std::string &Part :
        {Head.Method, hostName(findHeader(Head.Headers, "Host")), Head.Path,
         Customer})
-    Sum = combineHash(Sum, contentHash(Part));
-  Sum = combineHash(Sum, static_cast<uint64_t>(Head.Length));
-  return {combineHash(Sum, contentHash(Body))};
+    Hash = combineHash(Hash, contentHash(Part));
+  Hash = combineHash(Hash, static_cast<uint64_t>(Head.Length));
+  return {combineHash(Hash, contentHash(Body))};
 }
 
 std::string describeRequest(const RequestHead &Head) {
-  std::string Out =
+  std::string Description =
       Head.Method + " " + findHeader(Head.Headers, "Host") + Head.Path;
-  return Out.substr(0, MaxDescribed);
+  return Description.substr(0, MaxDescriptionLength);
 }
 
 } // namespace hickorylift
--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -5,37 +5,40 @@
 #include <algorithm>
 #include <utility>
 
-// A caller's request that crashes each upstream which runs it comes again under
-// another id, at another node, and what is forgotten with the attempt is done
-// again: a third of everybody's calls fail for as long as it comes.
+// A request that crashes each upstream that runs it comes again with another
+// id, at another node. Without a record that outlives the attempt it would
+// crash one upstream after the other: a third of all callers' calls would fail
+// for as long as it comes.
 //
-// Several requests run at an upstream that crashes, and one of them, or none,
-// is to blame. So all of them become suspects, and from then on no two suspects
-// run at one upstream at the same time. Two things tell them apart:
+// Several requests run at an upstream when it crashes, and one of them, or
+// none, is the cause. So all of them become suspects, and from then on no two
+// suspects run at one upstream at the same time. Two things tell them apart:
 //
-//   a run that ends with an answer clears its request, everywhere;
-//   a crash under which only one suspect ran is that one's (Alone).
+//   a run that ends with an answer clears its request, at all nodes;
+//   a crash during which only one suspect ran is attributed to that one
+//   (OnlySuspect).
 //
-// A request is held once it ran under Crashes crashes with no answer between
-// them, one of them alone. Whoever is innocent is answered by the next upstream
-// and is a suspect for as long as that takes; to be held it would have to be
-// there at three crashes in a row. A request that many send is answered
-// somewhere all the time.
+// A request is quarantined after it ran during CrashThreshold crashes without
+// an answer between them, if it was the only suspect in at least one of them.
+// An innocent request is answered by the next upstream, and is a suspect only
+// until then; to be quarantined it would have to run during three crashes in a
+// row. A request that many callers send is answered at some upstream all the
+// time.
 //
-// What is known is a set of crashes for each request, and which of them do not
-// count any more. A crash is never taken out and a mark never taken back, so
-// sets are joined in any order and with any repeats to the same result: records
-// can be passed on along every link, each node passes on what is new to it
-// once, and a neighbour that is new or was cut off is told all of them. No time
-// is compared between nodes: the same moment looks later with each hop, and
-// what one node had cleared would come back from the next for ever. What stands
-// against a request follows from its record alone: every node that has the same
-// records judges alike.
+// The state is a set of crashes for each request, with a mark for those that no
+// longer count. A crash is never removed from the set and a mark is never taken
+// back, so sets can be merged in any order and any number of times with the
+// same result. Records can therefore be passed on along every link: each node
+// passes on what is new to it once, and a neighbour that is new or was cut off
+// gets all of them. Times aren't compared between nodes: the same moment looks
+// later after each hop, and what one node had cleared would come back from the
+// next one for ever. The status of a request follows from its record alone, so
+// all nodes with the same records decide alike.
 
 namespace hickorylift {
 
-const char *statusName(Quarantine::Status Of) {
-  switch (Of) {
+const char *statusName(Quarantine::Status RequestStatus) {
+  switch (RequestStatus) {
   case Quarantine::Status::Free:
     return "free";
   case Quarantine::Status::Suspect:
@@ -52,20 +55,20 @@
     : Opts(std::move(GivenOpts)), Hook(std::move(Hooks)) {}
 
 std::vector<Quarantine::Crash> Quarantine::Record::activeCrashes() const {
-  std::vector<Crash> Out;
-  for (const Crash &One : this->Crashes)
-    if (!One.Cleared)
-      Out.push_back(One);
-  return Out;
+  std::vector<Crash> Active;
+  for (const Crash &Recorded : this->Crashes)
+    if (!Recorded.Cleared)
+      Active.push_back(Recorded);
+  return Active;
 }
 
-bool Quarantine::meetsThreshold(const std::vector<Crash> &By) const {
-  return By.size() >= this->Opts.CrashThreshold &&
-         std::any_of(By.begin(), By.end(),
-                     [](const Crash &One) { return One.OnlySuspect; });
+bool Quarantine::meetsThreshold(const std::vector<Crash> &Active) const {
+  return Active.size() >= this->Opts.CrashThreshold &&
+         std::any_of(Active.begin(), Active.end(),
+                     [](const Crash &Counted) { return Counted.OnlySuspect; });
 }
 
-// The term doubles with each crash of a trial.
+// The term doubles with each crash after the threshold.
 Millis Quarantine::quarantineTerm(size_t Crashes) const {
   Millis Term = this->Opts.InitialTerm;
   for (size_t I = this->Opts.CrashThreshold;
@@ -74,29 +77,29 @@
   return std::min(Term, this->Opts.MaxTerm);
 }
 
-Quarantine::Decision Quarantine::evaluate(const Record &Of,
+Quarantine::Decision Quarantine::evaluate(const Record &Request,
                                           TimePoint Now) const {
-  std::vector<Crash> By = Of.activeCrashes();
-  if (By.empty())
+  std::vector<Crash> Active = Request.activeCrashes();
+  if (Active.empty())
     return {};
-  Millis Since = toMillis(Now - By.back().At);
-  if (this->meetsThreshold(By)) {
-    Millis Term = this->quarantineTerm(By.size());
+  Millis Since = toMillis(Now - Active.back().At);
+  if (this->meetsThreshold(Active)) {
+    Millis Term = this->quarantineTerm(Active.size());
     if (Since < Term)
       return {Status::Quarantined, Term - Since};
     return {Since < 2 * Term ? Status::Trial : Status::Free, Millis(0)};
   }
   if (Since >= this->Opts.SuspectTerm)
     return {};
-  bool Last = By.size() + 1 >= this->Opts.CrashThreshold;
-  return {Last ? Status::Trial : Status::Suspect, Millis(0)};
+  bool IsLastTry = Active.size() + 1 >= this->Opts.CrashThreshold;
+  return {IsLastTry ? Status::Trial : Status::Suspect, Millis(0)};
 }
 
-Quarantine::Decision Quarantine::check(const Fingerprint &Of,
+Quarantine::Decision Quarantine::check(const Fingerprint &RequestFingerprint,
                                        TimePoint Now) const {
-  auto Found = this->Records.find(Of);
-  bool Holds = this->Opts.Enabled && this->Opts.Guards.HoldCrashers;
-  if (Found == this->Records.end() || !Holds)
+  auto Found = this->Records.find(RequestFingerprint);
+  bool IsActive = this->Opts.Enabled && this->Opts.Guards.HoldCrashers;
+  if (Found == this->Records.end() || !IsActive)
     return {};
   return this->evaluate(Found->second, Now);
 }
@@ -105,29 +108,29 @@
                                  TimePoint Now) {
   ++this->Counts.Crashes;
   std::map<Fingerprint, std::string> Unique;
-  for (const RunningRequest &One : Running)
-    Unique.emplace(One.RequestFingerprint, One.Description);
+  for (const RunningRequest &Request : Running)
+    Unique.emplace(Request.RequestFingerprint, Request.Description);
   std::vector<Fingerprint> Suspects;
-  for (const auto &[Of, Request] : Unique)
-    if (this->check(Of, Now).RequestStatus != Status::Free)
-      Suspects.push_back(Of);
+  for (const auto &[Print, Description] : Unique)
+    if (this->check(Print, Now).RequestStatus != Status::Free)
+      Suspects.push_back(Print);
   if (Suspects.empty() && Unique.size() == 1)
     Suspects.push_back(Unique.begin()->first);
-  Crash New;
-  New.Id = combineHash(
+  Crash NewCrash;
+  NewCrash.Id = combineHash(
       combineHash(contentHash(this->Opts.Self), this->Opts.Incarnation),
       ++this->LastCrashNumber);
-  New.At = Now;
-  New.ServiceHash = contentHash(this->Opts.Service);
+  NewCrash.At = Now;
+  NewCrash.ServiceHash = contentHash(this->Opts.Service);
   std::vector<Fingerprint> Changed;
-  for (const auto &[Of, Request] : Unique) {
-    Record Said;
-    Said.RequestFingerprint = Of;
-    Said.Description = Request;
-    New.OnlySuspect = Suspects.size() == 1 && Suspects.front() == Of;
-    Said.Crashes.push_back(New);
-    if (this->merge(Said, Now, this->Opts.Self))
-      Changed.push_back(Of);
+  for (const auto &[Print, Description] : Unique) {
+    Record Update;
+    Update.RequestFingerprint = Print;
+    Update.Description = Description;
+    NewCrash.OnlySuspect = Suspects.size() == 1 && Suspects.front() == Print;
+    Update.Crashes.push_back(NewCrash);
+    if (this->merge(Update, Now, this->Opts.Self))
+      Changed.push_back(Print);
   }
   this->enforceLimit();
   this->sendRecords(Changed, std::nullopt, Now);
@@ -135,139 +138,147 @@
 
 namespace {
 
-// Joins one crash with those of a record. Whether it is news.
-bool join(std::vector<Quarantine::Crash> &To, const Quarantine::Crash &One) {
-  auto Same =
-      std::find_if(To.begin(), To.end(), [&](const Quarantine::Crash &Old) {
-        return Old.Id == One.Id;
-      });
-  if (Same != To.end())
-    return One.Cleared && !std::exchange(Same->Cleared, true);
-  if (To.size() >= Quarantine::MaxCrashesPerRecord)
+// Merges one crash into the crashes of a record. Returns whether that changed
+// the record.
+bool mergeCrash(std::vector<Quarantine::Crash> &Crashes,
+                const Quarantine::Crash &New) {
+  auto Same = std::find_if(
+      Crashes.begin(), Crashes.end(),
+      [&](const Quarantine::Crash &Old) { return Old.Id == New.Id; });
+  if (Same != Crashes.end())
+    return New.Cleared && !std::exchange(Same->Cleared, true);
+  if (Crashes.size() >= Quarantine::MaxCrashesPerRecord)
     return false;
   auto Later =
-      std::upper_bound(To.begin(), To.end(), One,
+      std::upper_bound(Crashes.begin(), Crashes.end(), New,
                        [](const Quarantine::Crash &A,
                           const Quarantine::Crash &B) { return A.At < B.At; });
-  To.insert(Later, One);
+  Crashes.insert(Later, New);
   return true;
 }
 
 } // namespace
 
-// Joins what is said of a request to what is known. Whether that is news.
-bool Quarantine::merge(const Record &Said, TimePoint Now,
+// Merges a received or new record into the stored one. Returns whether that
+// changed it.
+bool Quarantine::merge(const Record &Update, TimePoint Now,
                        const std::string &Source) {
-  auto [At, New] = this->Records.try_emplace(Said.RequestFingerprint);
-  Record &Of = At->second;
-  bool WasHeld =
-      !New && this->evaluate(Of, Now).RequestStatus == Status::Quarantined;
-  if (New) {
-    Of.RequestFingerprint = Said.RequestFingerprint;
-    Of.Description = Said.Description;
+  auto [Position, IsNew] = this->Records.try_emplace(Update.RequestFingerprint);
+  Record &Stored = Position->second;
+  bool WasQuarantined = !IsNew && this->evaluate(Stored, Now).RequestStatus ==
+                                      Status::Quarantined;
+  if (IsNew) {
+    Stored.RequestFingerprint = Update.RequestFingerprint;
+    Stored.Description = Update.Description;
   }
-  bool News = false;
-  for (const Crash &One : Said.Crashes)
-    News |= join(Of.Crashes, One);
-  if (New && (!News || this->isExpired(Of, Now))) {
-    this->Records.erase(At);
+  bool HasNews = false;
+  for (const Crash &Added : Update.Crashes)
+    HasNews |= mergeCrash(Stored.Crashes, Added);
+  if (IsNew && (!HasNews || this->isExpired(Stored, Now))) {
+    this->Records.erase(Position);
     return false;
   }
-  bool IsHeld = this->evaluate(Of, Now).RequestStatus == Status::Quarantined;
-  if (IsHeld && !WasHeld) {
+  bool IsQuarantined =
+      this->evaluate(Stored, Now).RequestStatus == Status::Quarantined;
+  if (IsQuarantined && !WasQuarantined) {
     ++this->Counts.Quarantined;
-    Millis Term = this->quarantineTerm(Of.activeCrashes().size());
-    this->Hook.StatusChanged({"request-held", &Of, Source, Term}, Now);
-  } else if (WasHeld && !IsHeld) {
+    Millis Term = this->quarantineTerm(Stored.activeCrashes().size());
+    this->Hook.StatusChanged({"request-held", &Stored, Source, Term}, Now);
+  } else if (WasQuarantined && !IsQuarantined) {
     ++this->Counts.Released;
-    this->Hook.StatusChanged({"request-cleared", &Of, Source, Millis(0)}, Now);
+    this->Hook.StatusChanged({"request-cleared", &Stored, Source, Millis(0)},
+                             Now);
   }
-  return News;
+  return HasNews;
 }
 
-// Clears the crashes of one service, or all.
-bool Quarantine::clearCrashes(const Fingerprint &Of,
-                              std::optional<uint64_t> OfService,
+// Clears the crashes of one service, or all crashes.
+bool Quarantine::clearCrashes(const Fingerprint &RequestFingerprint,
+                              std::optional<uint64_t> ServiceHash,
                               const std::string &Source, TimePoint Now) {
-  auto Found = this->Records.find(Of);
+  auto Found = this->Records.find(RequestFingerprint);
   if (Found == this->Records.end())
     return false;
-  Record Said = Found->second;
-  for (Crash &One : Said.Crashes)
-    One.Cleared |= !OfService || One.ServiceHash == *OfService;
-  if (!this->merge(Said, Now, Source))
+  Record Update = Found->second;
+  for (Crash &Recorded : Update.Crashes)
+    Recorded.Cleared |= !ServiceHash || Recorded.ServiceHash == *ServiceHash;
+  if (!this->merge(Update, Now, Source))
     return false;
-  this->sendRecords({Of}, std::nullopt, Now);
+  this->sendRecords({RequestFingerprint}, std::nullopt, Now);
   return true;
 }
 
-void Quarantine::requestAnswered(const Fingerprint &Of, TimePoint Now) {
-  this->clearCrashes(Of, contentHash(this->Opts.Service), this->Opts.Self, Now);
+void Quarantine::requestAnswered(const Fingerprint &RequestFingerprint,
+                                 TimePoint Now) {
+  this->clearCrashes(RequestFingerprint, contentHash(this->Opts.Service),
+                     this->Opts.Self, Now);
 }
 
-bool Quarantine::release(const Fingerprint &Of, TimePoint Now) {
-  return this->clearCrashes(Of, std::nullopt, "operator", Now);
+bool Quarantine::release(const Fingerprint &RequestFingerprint, TimePoint Now) {
+  return this->clearCrashes(RequestFingerprint, std::nullopt, "operator", Now);
 }
 
-void Quarantine::sendRecords(const std::vector<Fingerprint> &Which,
-                             std::optional<uint64_t> ButLink, TimePoint Now) {
-  std::vector<const Record *> Out;
-  for (const Fingerprint &Of : Which)
-    if (auto Found = this->Records.find(Of); Found != this->Records.end())
-      Out.push_back(&Found->second);
-  if (!Out.empty())
-    this->Hook.SendRecords(encodeRecords(Out, Now), ButLink);
+void Quarantine::sendRecords(const std::vector<Fingerprint> &Fingerprints,
+                             std::optional<uint64_t> ExceptLink,
+                             TimePoint Now) {
+  std::vector<const Record *> ToSend;
+  for (const Fingerprint &Print : Fingerprints)
+    if (auto Found = this->Records.find(Print); Found != this->Records.end())
+      ToSend.push_back(&Found->second);
+  if (!ToSend.empty())
+    this->Hook.SendRecords(encodeRecords(ToSend, Now), ExceptLink);
 }
 
 std::optional<wire::SpreadFrameT> Quarantine::snapshot(TimePoint Now) const {
-  std::vector<const Record *> Out;
-  for (const auto &[Of, One] : this->Records)
-    Out.push_back(&One);
-  if (Out.empty())
+  std::vector<const Record *> All;
+  for (const auto &[Print, Stored] : this->Records)
+    All.push_back(&Stored);
+  if (All.empty())
     return std::nullopt;
-  return encodeRecords(Out, Now);
+  return encodeRecords(All, Now);
 }
 
-void Quarantine::receive(uint64_t Link, const wire::QuarantineT &Said,
+void Quarantine::receive(uint64_t Link, const wire::QuarantineT &Received,
                          TimePoint Now) {
   std::vector<Fingerprint> Changed;
-  for (const Record &One : decodeRecords(Said, Now))
-    if (this->merge(One, Now, "peer"))
-      Changed.push_back(One.RequestFingerprint);
+  for (const Record &Update : decodeRecords(Received, Now))
+    if (this->merge(Update, Now, "peer"))
+      Changed.push_back(Update.RequestFingerprint);
   this->enforceLimit();
   this->sendRecords(Changed, Link, Now);
 }
 
-// Whether nothing depends on the record any more. What was cleared is kept as
-// long as a node that was cut off may go on without knowing so.
-bool Quarantine::isExpired(const Record &Of, TimePoint Now) const {
-  if (Of.Crashes.empty())
+// Whether the record has no effect any more. A cleared record is kept for as
+// long as a node that was cut off may still count its crashes.
+bool Quarantine::isExpired(const Record &Request, TimePoint Now) const {
+  if (Request.Crashes.empty())
     return true;
-  Millis Kept = this->meetsThreshold(Of.Crashes)
-                    ? 2 * this->quarantineTerm(Of.Crashes.size())
-                    : this->Opts.SuspectTerm;
-  return Now - Of.Crashes.back().At >= Kept;
+  Millis KeepFor = this->meetsThreshold(Request.Crashes)
+                       ? 2 * this->quarantineTerm(Request.Crashes.size())
+                       : this->Opts.SuspectTerm;
+  return Now - Request.Crashes.back().At >= KeepFor;
 }
 
 void Quarantine::tick(TimePoint Now) {
-  std::erase_if(this->Records, [&](const auto &One) {
-    return this->isExpired(One.second, Now);
+  std::erase_if(this->Records, [&](const auto &Stored) {
+    return this->isExpired(Stored.second, Now);
   });
 }
 
-// A caller may invent requests that crash upstreams without end; what is
-// remembered of them is bounded, and what matters least goes first.
+// A caller may send ever new requests that crash upstreams. The number of
+// records is bounded, and the least important ones are removed first.
 void Quarantine::enforceLimit() {
   while (this->Records.size() > this->Opts.MaxRecords) {
-    auto Rank = [&](const Record &Of) {
-      std::vector<Crash> By = Of.activeCrashes();
-      int Weight = this->meetsThreshold(By) ? 2 : By.empty() ? 0 : 1;
-      return std::pair(Weight, Of.Crashes.back().At);
+    auto Importance = [&](const Record &Request) {
+      std::vector<Crash> Active = Request.activeCrashes();
+      int Weight = this->meetsThreshold(Active) ? 2 : Active.empty() ? 0 : 1;
+      return std::pair(Weight, Request.Crashes.back().At);
     };
-    auto Least = std::min_element(this->Records.begin(), this->Records.end(),
-                                  [&](const auto &A, const auto &B) {
-                                    return Rank(A.second) < Rank(B.second);
-                                  });
+    auto Least =
+        std::min_element(this->Records.begin(), this->Records.end(),
+                         [&](const auto &A, const auto &B) {
+                           return Importance(A.second) < Importance(B.second);
+                         });
     this->Records.erase(Least);
   }
 }
