--- a/src/gate/Admission.cpp
+++ b/src/gate/Admission.cpp
@@ -55,8 +55,8 @@
 size_t Admission::openSlots(TimePoint Now) const {
   double Open = std::min<double>(this->SlotWindow, this->ServiceConfig.Slots);
   Clock::duration SinceStart = Now - this->WarmupStart;
-  // If the service states the call rate that a cold upstream bears, that rate
-  // is the only limit while it is cold.
+  // If the service states the call rate that a cold upstream can handle, that
+  // rate is the only limit while it is cold.
   if (SinceStart < this->ServiceConfig.Warmup &&
       this->ServiceConfig.ColdPerSecond == 0)
     Open = std::min(
--- a/src/gate/Admission.h
+++ b/src/gate/Admission.h
@@ -117,7 +117,7 @@
   /// Reserves capacity for a call that is about to be sent. A cold upstream's
   /// reservation is returned by coldStart().releaseReservation(). A returned
   /// result means that the call must not be sent, because the upstream has
-  /// already received all that it can bear.
+  /// already received as much as it can handle.
   std::optional<Result> reserveCapacity(TimePoint Now);
   /// Whether a call that starts after Wait is expected to meet its target.
   bool canMeetTarget(const Request &Call, Clock::duration Wait,
--- a/src/gate/ColdStartLimiter.cpp
+++ b/src/gate/ColdStartLimiter.cpp
@@ -3,11 +3,11 @@
 #include <algorithm>
 #include <cmath>
 
-// An upstream that has just started bears few calls and crashes under more. All
-// of its calls pass through one gate, so the limit is enforced exactly there:
-// the requests sent within the last window are counted together with the calls
-// that have started and still wait for their connection, and no call starts
-// that would exceed the limit in any window.
+// An upstream that has just started can handle only a few calls and crashes
+// under more. All of its calls pass through one gate, so the limit is enforced
+// exactly there: the requests sent within the last window are counted together
+// with the calls that have started and still wait for their connection, and no
+// call starts that would exceed the limit in any window.
 //
 // Whether the upstream is cold is known late. The platform's list reports a
 // start only seconds later, and may report an upstream as warm that has crashed
--- a/src/gate/ColdStartLimiter.h
+++ b/src/gate/ColdStartLimiter.h
@@ -31,10 +31,10 @@
 class ColdStartLimiter {
 public:
   struct Options {
-    /// Number of calls per second that a cold upstream bears for a moment, as a
-    /// multiple of the rate that its service states.
+    /// Number of calls per second that a cold upstream can handle for a moment,
+    /// as a multiple of the rate that its service states.
     double RateFactor = 1;
-    /// Number of calls that it bears on top of that.
+    /// Number of calls per window that it can handle on top of that.
     double ExtraCalls = 0;
     /// Length of the sliding window in which requests are counted.
     Millis RateWindow{1000};
@@ -60,13 +60,13 @@
   explicit ColdStartLimiter(Options Opts) : Opts(Opts) {}
 
   /// Sets what the service states about its upstreams: the calls per second
-  /// that a cold one bears, and how long it stays cold. With a rate of zero
-  /// nothing is limited. When a rate is stated for the first time, the state of
-  /// the upstream is unconfirmed.
+  /// that a cold one can handle, and how long it stays cold. With a rate of
+  /// zero nothing is limited. When a rate is stated for the first time, the
+  /// state of the upstream is unconfirmed.
   void configure(double CallsPerSecond, Millis WarmupTime, TimePoint Now);
   /// From now on every request that is sent is counted. How much a previous
   /// process sent to the same upstream just before isn't known; it may have
-  /// been as much as the upstream bears.
+  /// been as much as the upstream can handle.
   void startCounting(TimePoint Now);
   /// The upstream may have restarted, or have become cold again. It counts as
   /// cold for a whole warm-up time, or until it reports otherwise.
@@ -100,7 +100,7 @@
   /// Calls per second that are allowed while the upstream is cold.
   double allowedRate() const;
   /// Whether the upstream is cold and got more calls in the last window than it
-  /// bears.
+  /// can handle.
   bool isOverLimit(TimePoint Now);
 
 private:
--- a/src/gate/ColdStartLimiterTest.cpp
+++ b/src/gate/ColdStartLimiterTest.cpp
@@ -265,7 +265,7 @@
 }
 
 // Guards against a gate that admits calls by its free slots although its cold
-// upstream bears fewer.
+// upstream can handle fewer.
 BOOST_AUTO_TEST_CASE(AdmissionLimitsCallsToAColdUpstream) {
   Admission::Options Opts;
   Opts.ColdStartOpts = options();
--- a/src/gate/GateTest.cpp
+++ b/src/gate/GateTest.cpp
@@ -85,8 +85,8 @@
 };
 
 /// Simulates calls of 100 ms for ten seconds, one each Gap, with a target of
-/// 300 ms and a deadline of 1200 ms. If DeadlineOnly is set, the gate is told
-/// the deadline but not the target.
+/// 300 ms and a deadline of 1200 ms. If DeadlineOnly is set, the gate gets the
+/// deadline but not the target.
 LoadOutcome simulateLoad(Millis Gap, bool DeadlineOnly) {
   constexpr Millis RunTime{100}, Target{300}, Deadline{1200}, Duration{10000};
   Service Config = makeService(4, 20);
