--- a/src/quarantine/Quarantine.h
+++ b/src/quarantine/Quarantine.h
@@ -44,7 +44,7 @@
 
 /// Computes the fingerprint of a request from its method, host, path with
 /// query, customer and body. Other header fields differ between attempts. The
-/// service is left out because it tells where the request goes, not what it
+/// service is left out because it says where the request goes, not what it
 /// contains: a route may be moved to another service or split between services
 /// from one attempt to the next. Body is the whole body, or empty if the node
 /// doesn't hold it completely: then only its length counts, and different
