--- a/src/quarantine/Quarantine.cpp
+++ b/src/quarantine/Quarantine.cpp
@@ -5,44 +5,47 @@
 #include <algorithm>
 #include <utility>
 
-// A caller's request that crashes each upstream which runs it comes again under
-// another id, at another node, and what is forgotten with the attempt is done
-// again: a third of everybody's calls fail for as long as it comes.
+// A request that crashes each upstream that runs it comes again with another
+// id, at another node. Without a record that outlives the attempt it would
+// crash one upstream after the other: a third of all callers' calls would fail
+// for as long as it comes.
 //
-// Several requests run at an upstream that crashes, and one of them, or none,
-// is to blame. So all of them become suspects, and from then on no two suspects
-// run at one upstream at the same time. Two things tell them apart:
+// Several requests run at an upstream when it crashes, and one of them, or
+// none, is the cause. So all of them become suspects, and from then on no two
+// suspects run at one upstream at the same time. Two things tell them apart:
 //
-//   a run that ends with an answer clears its request, everywhere;
-//   a crash under which only one suspect ran is that one's (Alone).
+//   a run that ends with an answer clears its request, at all nodes;
+//   a crash during which only one suspect ran is attributed to that one
+//   (OnlySuspect).
 //
-// A request is held once it ran under Crashes crashes with no answer between
-// them, one of them alone. Whoever is innocent is answered by the next upstream
-// and is a suspect for as long as that takes; to be held it would have to be
-// there at three crashes in a row. A request that many send is answered
-// somewhere all the time.
+// A request is quarantined after it ran during CrashThreshold crashes without
+// an answer between them, if it was the only suspect in at least one of them.
+// An innocent request is answered by the next upstream, and is a suspect only
+// until then; to be quarantined it would have to run during three crashes in a
+// row. A request that many callers send is answered at some upstream all the
+// time.
 //
-// What is known is a set of crashes for each request, and which of them do not
-// count any more. A crash is never taken out and a mark never taken back, so
-// sets are joined in any order and with any repeats to the same result: records
-// can be passed on along every link, each node passes on what is new to it
-// once, and a neighbour that is new or was cut off is told all of them. No time
-// is compared between nodes: the same moment looks later with each hop, and
-// what one node had cleared would come back from the next for ever. What stands
-// against a request follows from its record alone: every node that has the same
-// records judges alike.
+// The state is a set of crashes for each request, with a mark for those that no
+// longer count. A crash is never removed from the set and a mark is never taken
+// back, so sets can be merged in any order and any number of times with the
+// same result. Records can therefore be passed on along every link: each node
+// passes on what is new to it once, and a neighbour that is new or was cut off
+// gets all of them. Times aren't compared between nodes: the same moment looks
+// later after each hop, and what one node had cleared would come back from the
+// next one for ever. The status of a request follows from its record alone, so
+// all nodes with the same records decide alike.
 
 namespace hickorylift {
 
-const char *standingName(Quarantine::Standing Of) {
-  switch (Of) {
-  case Quarantine::Standing::Free:
+const char *statusName(Quarantine::Status RequestStatus) {
+  switch (RequestStatus) {
+  case Quarantine::Status::Free:
     return "free";
-  case Quarantine::Standing::Suspect:
+  case Quarantine::Status::Suspect:
     return "suspect";
-  case Quarantine::Standing::Trial:
+  case Quarantine::Status::Trial:
     return "trial";
-  case Quarantine::Standing::Held:
+  case Quarantine::Status::Quarantined:
     return "held";
   }
   return "";
@@ -51,221 +54,232 @@
 Quarantine::Quarantine(Options GivenOpts, Hooks Hooks)
     : Opts(std::move(GivenOpts)), Hook(std::move(Hooks)) {}
 
-std::vector<Quarantine::Crash> Quarantine::Record::counting() const {
-  std::vector<Crash> Out;
-  for (const Crash &One : this->Crashes)
-    if (!One.Cleared)
-      Out.push_back(One);
-  return Out;
+std::vector<Quarantine::Crash> Quarantine::Record::activeCrashes() const {
+  std::vector<Crash> Active;
+  for (const Crash &Recorded : this->Crashes)
+    if (!Recorded.Cleared)
+      Active.push_back(Recorded);
+  return Active;
 }
 
-bool Quarantine::isConvicted(const std::vector<Crash> &By) const {
-  return By.size() >= this->Opts.Crashes &&
-         std::any_of(By.begin(), By.end(),
-                     [](const Crash &One) { return One.Alone; });
+bool Quarantine::meetsThreshold(const std::vector<Crash> &Active) const {
+  return Active.size() >= this->Opts.CrashThreshold &&
+         std::any_of(Active.begin(), Active.end(),
+                     [](const Crash &Counted) { return Counted.OnlySuspect; });
 }
 
-// The term doubles with each crash of a trial.
-Millis Quarantine::termOf(size_t Crashes) const {
-  Millis Term = this->Opts.Term;
-  for (size_t I = this->Opts.Crashes;
-       I < Crashes && Term < this->Opts.LongestTerm; ++I)
+// The term doubles with each crash after the threshold.
+Millis Quarantine::quarantineTerm(size_t Crashes) const {
+  Millis Term = this->Opts.InitialTerm;
+  for (size_t I = this->Opts.CrashThreshold;
+       I < Crashes && Term < this->Opts.MaxTerm; ++I)
     Term *= 2;
-  return std::min(Term, this->Opts.LongestTerm);
+  return std::min(Term, this->Opts.MaxTerm);
 }
 
-Quarantine::Verdict Quarantine::standing(const Record &Of,
-                                         TimePoint Now) const {
-  std::vector<Crash> By = Of.counting();
-  if (By.empty())
+Quarantine::Decision Quarantine::evaluate(const Record &Request,
+                                          TimePoint Now) const {
+  std::vector<Crash> Active = Request.activeCrashes();
+  if (Active.empty())
     return {};
-  Millis Since = toMillis(Now - By.back().At);
-  if (this->isConvicted(By)) {
-    Millis Term = this->termOf(By.size());
+  Millis Since = toMillis(Now - Active.back().At);
+  if (this->meetsThreshold(Active)) {
+    Millis Term = this->quarantineTerm(Active.size());
     if (Since < Term)
-      return {Standing::Held, Term - Since};
-    return {Since < 2 * Term ? Standing::Trial : Standing::Free, Millis(0)};
+      return {Status::Quarantined, Term - Since};
+    return {Since < 2 * Term ? Status::Trial : Status::Free, Millis(0)};
   }
-  if (Since >= this->Opts.SuspectFor)
+  if (Since >= this->Opts.SuspectTerm)
     return {};
-  bool Last = By.size() + 1 >= this->Opts.Crashes;
-  return {Last ? Standing::Trial : Standing::Suspect, Millis(0)};
+  bool IsLastTry = Active.size() + 1 >= this->Opts.CrashThreshold;
+  return {IsLastTry ? Status::Trial : Status::Suspect, Millis(0)};
 }
 
-Quarantine::Verdict Quarantine::judge(const Fingerprint &Of,
-                                      TimePoint Now) const {
-  auto Found = this->Known.find(Of);
-  bool Holds = this->Opts.Enabled && this->Opts.Guards.HoldCrashers;
-  if (Found == this->Known.end() || !Holds)
+Quarantine::Decision Quarantine::check(const Fingerprint &RequestFingerprint,
+                                       TimePoint Now) const {
+  auto Found = this->Records.find(RequestFingerprint);
+  bool IsActive = this->Opts.Enabled && this->Opts.Guards.HoldCrashers;
+  if (Found == this->Records.end() || !IsActive)
     return {};
-  return this->standing(Found->second, Now);
+  return this->evaluate(Found->second, Now);
 }
 
-void Quarantine::upstreamCrashed(const std::vector<Ran> &Running,
+void Quarantine::upstreamCrashed(const std::vector<RunningRequest> &Running,
                                  TimePoint Now) {
   ++this->Counts.Crashes;
   std::map<Fingerprint, std::string> Unique;
-  for (const Ran &One : Running)
-    Unique.emplace(One.Of, One.Request);
+  for (const RunningRequest &Request : Running)
+    Unique.emplace(Request.RequestFingerprint, Request.Description);
   std::vector<Fingerprint> Suspects;
-  for (const auto &[Of, Request] : Unique)
-    if (this->judge(Of, Now).What != Standing::Free)
-      Suspects.push_back(Of);
+  for (const auto &[Print, Description] : Unique)
+    if (this->check(Print, Now).RequestStatus != Status::Free)
+      Suspects.push_back(Print);
   if (Suspects.empty() && Unique.size() == 1)
     Suspects.push_back(Unique.begin()->first);
-  Crash New;
-  New.Id = combineHash(
+  Crash NewCrash;
+  NewCrash.Id = combineHash(
       combineHash(contentHash(this->Opts.Self), this->Opts.Incarnation),
-      ++this->LastCrash);
-  New.At = Now;
-  New.Service = contentHash(this->Opts.Service);
+      ++this->LastCrashNumber);
+  NewCrash.At = Now;
+  NewCrash.ServiceHash = contentHash(this->Opts.Service);
   std::vector<Fingerprint> Changed;
-  for (const auto &[Of, Request] : Unique) {
-    Record Said;
-    Said.Of = Of;
-    Said.Request = Request;
-    New.Alone = Suspects.size() == 1 && Suspects.front() == Of;
-    Said.Crashes.push_back(New);
-    if (this->merge(Said, Now, this->Opts.Self))
-      Changed.push_back(Of);
+  for (const auto &[Print, Description] : Unique) {
+    Record Update;
+    Update.RequestFingerprint = Print;
+    Update.Description = Description;
+    NewCrash.OnlySuspect = Suspects.size() == 1 && Suspects.front() == Print;
+    Update.Crashes.push_back(NewCrash);
+    if (this->merge(Update, Now, this->Opts.Self))
+      Changed.push_back(Print);
   }
-  this->bound();
-  this->tellOf(Changed, std::nullopt, Now);
+  this->enforceLimit();
+  this->sendRecords(Changed, std::nullopt, Now);
 }
 
 namespace {
 
-// Joins one crash with those of a record. Whether it is news.
-bool join(std::vector<Quarantine::Crash> &To, const Quarantine::Crash &One) {
-  auto Same =
-      std::find_if(To.begin(), To.end(), [&](const Quarantine::Crash &Old) {
-        return Old.Id == One.Id;
-      });
-  if (Same != To.end())
-    return One.Cleared && !std::exchange(Same->Cleared, true);
-  if (To.size() >= Quarantine::MaxCrashes)
+// Merges one crash into the crashes of a record. Returns whether that changed
+// the record.
+bool mergeCrash(std::vector<Quarantine::Crash> &Crashes,
+                const Quarantine::Crash &New) {
+  auto Same = std::find_if(
+      Crashes.begin(), Crashes.end(),
+      [&](const Quarantine::Crash &Old) { return Old.Id == New.Id; });
+  if (Same != Crashes.end())
+    return New.Cleared && !std::exchange(Same->Cleared, true);
+  if (Crashes.size() >= Quarantine::MaxCrashesPerRecord)
     return false;
   auto Later =
-      std::upper_bound(To.begin(), To.end(), One,
+      std::upper_bound(Crashes.begin(), Crashes.end(), New,
                        [](const Quarantine::Crash &A,
                           const Quarantine::Crash &B) { return A.At < B.At; });
-  To.insert(Later, One);
+  Crashes.insert(Later, New);
   return true;
 }
 
 } // namespace
 
-// Joins what is said of a request to what is known. Whether that is news.
-bool Quarantine::merge(const Record &Said, TimePoint Now,
+// Merges a received or new record into the stored one. Returns whether that
+// changed it.
+bool Quarantine::merge(const Record &Update, TimePoint Now,
                        const std::string &Source) {
-  auto [At, New] = this->Known.try_emplace(Said.Of);
-  Record &Of = At->second;
-  bool WasHeld = !New && this->standing(Of, Now).What == Standing::Held;
-  if (New) {
-    Of.Of = Said.Of;
-    Of.Request = Said.Request;
+  auto [Position, IsNew] = this->Records.try_emplace(Update.RequestFingerprint);
+  Record &Stored = Position->second;
+  bool WasQuarantined = !IsNew && this->evaluate(Stored, Now).RequestStatus ==
+                                      Status::Quarantined;
+  if (IsNew) {
+    Stored.RequestFingerprint = Update.RequestFingerprint;
+    Stored.Description = Update.Description;
   }
-  bool News = false;
-  for (const Crash &One : Said.Crashes)
-    News |= join(Of.Crashes, One);
-  if (New && (!News || this->isOver(Of, Now))) {
-    this->Known.erase(At);
+  bool HasNews = false;
+  for (const Crash &Added : Update.Crashes)
+    HasNews |= mergeCrash(Stored.Crashes, Added);
+  if (IsNew && (!HasNews || this->isExpired(Stored, Now))) {
+    this->Records.erase(Position);
     return false;
   }
-  bool IsHeld = this->standing(Of, Now).What == Standing::Held;
-  if (IsHeld && !WasHeld) {
-    ++this->Counts.Held;
-    Millis Term = this->termOf(Of.counting().size());
-    this->Hook.Changed({"request-held", &Of, Source, Term}, Now);
-  } else if (WasHeld && !IsHeld) {
+  bool IsQuarantined =
+      this->evaluate(Stored, Now).RequestStatus == Status::Quarantined;
+  if (IsQuarantined && !WasQuarantined) {
+    ++this->Counts.Quarantined;
+    Millis Term = this->quarantineTerm(Stored.activeCrashes().size());
+    this->Hook.StatusChanged({"request-held", &Stored, Source, Term}, Now);
+  } else if (WasQuarantined && !IsQuarantined) {
     ++this->Counts.Released;
-    this->Hook.Changed({"request-cleared", &Of, Source, Millis(0)}, Now);
+    this->Hook.StatusChanged({"request-cleared", &Stored, Source, Millis(0)},
+                             Now);
   }
-  return News;
+  return HasNews;
 }
 
-// Clears the crashes of one service, or all.
-bool Quarantine::clear(const Fingerprint &Of, std::optional<uint64_t> OfService,
-                       const std::string &Source, TimePoint Now) {
-  auto Found = this->Known.find(Of);
-  if (Found == this->Known.end())
+// Clears the crashes of one service, or all crashes.
+bool Quarantine::clearCrashes(const Fingerprint &RequestFingerprint,
+                              std::optional<uint64_t> ServiceHash,
+                              const std::string &Source, TimePoint Now) {
+  auto Found = this->Records.find(RequestFingerprint);
+  if (Found == this->Records.end())
     return false;
-  Record Said = Found->second;
-  for (Crash &One : Said.Crashes)
-    One.Cleared |= !OfService || One.Service == *OfService;
-  if (!this->merge(Said, Now, Source))
+  Record Update = Found->second;
+  for (Crash &Recorded : Update.Crashes)
+    Recorded.Cleared |= !ServiceHash || Recorded.ServiceHash == *ServiceHash;
+  if (!this->merge(Update, Now, Source))
     return false;
-  this->tellOf({Of}, std::nullopt, Now);
+  this->sendRecords({RequestFingerprint}, std::nullopt, Now);
   return true;
 }
 
-void Quarantine::answered(const Fingerprint &Of, TimePoint Now) {
-  this->clear(Of, contentHash(this->Opts.Service), this->Opts.Self, Now);
+void Quarantine::requestAnswered(const Fingerprint &RequestFingerprint,
+                                 TimePoint Now) {
+  this->clearCrashes(RequestFingerprint, contentHash(this->Opts.Service),
+                     this->Opts.Self, Now);
 }
 
-bool Quarantine::release(const Fingerprint &Of, TimePoint Now) {
-  return this->clear(Of, std::nullopt, "operator", Now);
+bool Quarantine::release(const Fingerprint &RequestFingerprint, TimePoint Now) {
+  return this->clearCrashes(RequestFingerprint, std::nullopt, "operator", Now);
 }
 
-void Quarantine::tellOf(const std::vector<Fingerprint> &Which,
-                        std::optional<uint64_t> ButLink, TimePoint Now) {
-  std::vector<const Record *> Out;
-  for (const Fingerprint &Of : Which)
-    if (auto Found = this->Known.find(Of); Found != this->Known.end())
-      Out.push_back(&Found->second);
-  if (!Out.empty())
-    this->Hook.Tell(toFrame(Out, Now), ButLink);
+void Quarantine::sendRecords(const std::vector<Fingerprint> &Fingerprints,
+                             std::optional<uint64_t> ExceptLink,
+                             TimePoint Now) {
+  std::vector<const Record *> ToSend;
+  for (const Fingerprint &Print : Fingerprints)
+    if (auto Found = this->Records.find(Print); Found != this->Records.end())
+      ToSend.push_back(&Found->second);
+  if (!ToSend.empty())
+    this->Hook.SendRecords(encodeRecords(ToSend, Now), ExceptLink);
 }
 
-std::optional<wire::SpreadFrameT> Quarantine::all(TimePoint Now) const {
-  std::vector<const Record *> Out;
-  for (const auto &[Of, One] : this->Known)
-    Out.push_back(&One);
-  if (Out.empty())
+std::optional<wire::SpreadFrameT> Quarantine::snapshot(TimePoint Now) const {
+  std::vector<const Record *> All;
+  for (const auto &[Print, Stored] : this->Records)
+    All.push_back(&Stored);
+  if (All.empty())
     return std::nullopt;
-  return toFrame(Out, Now);
+  return encodeRecords(All, Now);
 }
 
-void Quarantine::receive(uint64_t Link, const wire::QuarantineT &Said,
+void Quarantine::receive(uint64_t Link, const wire::QuarantineT &Received,
                          TimePoint Now) {
   std::vector<Fingerprint> Changed;
-  for (const Record &One : fromFrame(Said, Now))
-    if (this->merge(One, Now, "peer"))
-      Changed.push_back(One.Of);
-  this->bound();
-  this->tellOf(Changed, Link, Now);
+  for (const Record &Update : decodeRecords(Received, Now))
+    if (this->merge(Update, Now, "peer"))
+      Changed.push_back(Update.RequestFingerprint);
+  this->enforceLimit();
+  this->sendRecords(Changed, Link, Now);
 }
 
-// Whether nothing depends on the record any more. What was cleared is kept as
-// long as a node that was cut off may go on without knowing so.
-bool Quarantine::isOver(const Record &Of, TimePoint Now) const {
-  if (Of.Crashes.empty())
+// Whether the record has no effect any more. A cleared record is kept for as
+// long as a node that was cut off may still count its crashes.
+bool Quarantine::isExpired(const Record &Request, TimePoint Now) const {
+  if (Request.Crashes.empty())
     return true;
-  Millis Kept = this->isConvicted(Of.Crashes)
-                    ? 2 * this->termOf(Of.Crashes.size())
-                    : this->Opts.SuspectFor;
-  return Now - Of.Crashes.back().At >= Kept;
+  Millis KeepFor = this->meetsThreshold(Request.Crashes)
+                       ? 2 * this->quarantineTerm(Request.Crashes.size())
+                       : this->Opts.SuspectTerm;
+  return Now - Request.Crashes.back().At >= KeepFor;
 }
 
 void Quarantine::tick(TimePoint Now) {
-  std::erase_if(this->Known,
-                [&](const auto &One) { return this->isOver(One.second, Now); });
+  std::erase_if(this->Records, [&](const auto &Stored) {
+    return this->isExpired(Stored.second, Now);
+  });
 }
 
-// A caller may invent requests that crash upstreams without end; what is
-// remembered of them is bounded, and what matters least goes first.
-void Quarantine::bound() {
-  while (this->Known.size() > this->Opts.MaxRequests) {
-    auto Rank = [&](const Record &Of) {
-      std::vector<Crash> By = Of.counting();
-      int Weight = this->isConvicted(By) ? 2 : By.empty() ? 0 : 1;
-      return std::pair(Weight, Of.Crashes.back().At);
+// A caller may send ever new requests that crash upstreams. The number of
+// records is bounded, and the least important ones are removed first.
+void Quarantine::enforceLimit() {
+  while (this->Records.size() > this->Opts.MaxRecords) {
+    auto Importance = [&](const Record &Request) {
+      std::vector<Crash> Active = Request.activeCrashes();
+      int Weight = this->meetsThreshold(Active) ? 2 : Active.empty() ? 0 : 1;
+      return std::pair(Weight, Request.Crashes.back().At);
     };
-    auto Least = std::min_element(this->Known.begin(), this->Known.end(),
-                                  [&](const auto &A, const auto &B) {
-                                    return Rank(A.second) < Rank(B.second);
-                                  });
-    this->Known.erase(Least);
+    auto Least =
+        std::min_element(this->Records.begin(), this->Records.end(),
+                         [&](const auto &A, const auto &B) {
+                           return Importance(A.second) < Importance(B.second);
+                         });
+    this->Records.erase(Least);
   }
 }
 
