--- a/harness/PlatformWriter.cpp
+++ b/harness/PlatformWriter.cpp
@@ -45,7 +45,7 @@
   }
   Manifest Out = makeManifest(Version, Last, Contents);
   Last = Contents;
-  return putValue(Platform, "config/contents/" + hexHash(Out.Contents),
+  return putValue(Platform, "config/contents/" + hexHash(Out.ContentsHash),
                   writeContents(Contents)) &&
          putValue(Platform, "config/manifest", writeManifest(Out));
 }
--- a/scenario/World.cpp
+++ b/scenario/World.cpp
@@ -24,7 +24,7 @@
   NodePlatform(World &Of, std::string Node, uint64_t Incarnation)
       : Of(Of), Node(std::move(Node)), Incarnation(Incarnation) {}
 
-  void get(const std::string &Key, TimePoint, GotValue Done) override {
+  void get(const std::string &Key, TimePoint, ValueCallback Done) override {
     PlatformState &Source = this->Of.platform();
     ++Source.Reads;
     if (this->unreachable())
@@ -43,7 +43,7 @@
   }
 
   void watch(const std::vector<std::string> &Keys, uint64_t After, Millis Wait,
-             TimePoint, GotChanges Done) override {
+             TimePoint, ChangesCallback Done) override {
     PlatformState &Source = this->Of.platform();
     ++Source.Reads;
     if (this->unreachable())
@@ -225,7 +225,7 @@
   }
   Manifest Out = makeManifest(Version, this->Published, Contents);
   this->Published = Contents;
-  this->put("config/contents/" + hexHash(Out.Contents),
+  this->put("config/contents/" + hexHash(Out.ContentsHash),
             writeContents(Contents));
   this->put("config/manifest", writeManifest(Out));
 }
--- a/src/control/ControlPlane.cpp
+++ b/src/control/ControlPlane.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-ControlPlane::ControlPlane(Options GivenOpts, const MakeSource &MakeRead,
+ControlPlane::ControlPlane(Options GivenOpts, const SourceFactory &MakeRead,
                            Hooks GivenHooks)
     : Opts(std::move(GivenOpts)), Hook(std::move(GivenHooks)),
       Trail(this->Opts.AuditCapacity, this->Hook.Audit),
@@ -69,11 +69,13 @@
                        uint64_t Revision, TimePoint AskedAt) {
     this->Spread.confirm(Topic, Version, Revision, AskedAt);
   };
-  Out.Held = [this](const std::string &Topic) {
+  Out.CurrentDocument = [this](const std::string &Topic) {
     return this->Spread.held(Topic);
   };
-  Out.Complete = [this](uint64_t Revision) { this->Spread.complete(Revision); };
-  Out.CompleteAt = [this] { return this->Spread.completeAt(); };
+  Out.ReportComplete = [this](uint64_t Revision) {
+    this->Spread.complete(Revision);
+  };
+  Out.CompleteRevision = [this] { return this->Spread.completeAt(); };
   Out.Failed = [this](const Error &Why, TimePoint Now) {
     // A long outage is one event, not one for each attempt.
     if (Why.text() == this->LastReaderError)
@@ -88,8 +90,8 @@
       this->Trail.add(Now, "item-unreadable", Why.Detail, Why.Peer,
                       "names no upstream");
   };
-  Out.MetEra = [this](uint64_t Era) { this->Spread.meetEra(Era); };
-  Out.FirstEra = [this] { return this->Spread.firstEra(); };
+  Out.EraObserved = [this](uint64_t Era) { this->Spread.meetEra(Era); };
+  Out.EarliestEra = [this] { return this->Spread.firstEra(); };
   // A source may have several readers, each of which reports the same restore.
   Out.Restored = [this](uint64_t From, uint64_t To, TimePoint Now) {
     if (this->PlatformEra && To <= *this->PlatformEra)
--- a/src/control/ControlPlane.h
+++ b/src/control/ControlPlane.h
@@ -102,7 +102,7 @@
     Membership::Options Members;
     Spreader::Options Spread;
     /// Of the reader, and how long one watch may wait, whatever reads.
-    Reader::Options Read;
+    PlatformReader::Options Read;
     CompileOptions Compile;
     /// Of the requests that crash upstreams; Self and Incarnation are filled
     /// in.
@@ -123,7 +123,7 @@
   };
 
   /// MakeRead makes what reads the platform.
-  ControlPlane(Options Opts, const MakeSource &MakeRead, Hooks Hooks);
+  ControlPlane(Options Opts, const SourceFactory &MakeRead, Hooks Hooks);
 
   void tick(TimePoint Now);
   /// Dialled is the peer's name where this node dialled; else empty.
--- a/src/control/ControlPlaneTest.cpp
+++ b/src/control/ControlPlaneTest.cpp
@@ -45,7 +45,7 @@
       this->Frames.emplace_back(1 - Which, std::move(Bytes));
     };
     Hooks.Close = [](LinkId) {};
-    MakeSource Make = [this, Which](const SourceHooks &Given) {
+    SourceFactory Make = [this, Which](const SourceHooks &Given) {
       if (Which == 0)
         this->Publish = Given.Publish;
       return std::make_unique<SilentSource>(&this->Wanted[Which]);
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -73,11 +73,11 @@
   this->Store = platform::openStore(Opts, Clock);
 }
 
-MakeSource Node::storeSource() {
+SourceFactory Node::storeSource() {
   return [this](const SourceHooks &Hooks) {
-    platform::Place Here{this->Set.Peers.Port, this->Set.Operator.Port};
+    platform::NodePorts Here{this->Set.Peers.Port, this->Set.Operator.Port};
     return std::make_unique<SplitReader>(
-        this->Set.Store, *this->Store, platform::contents(Here), Hooks,
+        this->Set.Store, *this->Store, platform::storeLayout(Here), Hooks,
         this->Set.DataCentres, this->Incarnation);
   };
 }
--- a/src/node/Node.h
+++ b/src/node/Node.h
@@ -51,7 +51,7 @@
 
   void startHealth();
   void openPlatform();
-  MakeSource storeSource();
+  SourceFactory storeSource();
   void makeCore();
   void makeTransport();
   void makeUpstream();
--- a/src/node/NodeCore.cpp
+++ b/src/node/NodeCore.cpp
@@ -70,13 +70,13 @@
           GivenOpts,
           [&GivenOpts, &Source](SourceHooks Read) {
             const ControlPlane::Options &Of = GivenOpts.Control;
-            return std::make_unique<Reader>(
+            return std::make_unique<PlatformReader>(
                 Of.Read, Source, std::move(Read),
                 ownFirst(Of.DataCentre, Of.DataCentres), Of.Seed + 1);
           },
           std::move(GivenHooks)) {}
 
-NodeCore::NodeCore(const Options &GivenOpts, const MakeSource &MakeRead,
+NodeCore::NodeCore(const Options &GivenOpts, const SourceFactory &MakeRead,
                    Hooks GivenHooks)
     : Opts(GivenOpts), Hook(std::move(GivenHooks)) {
   this->Control = std::make_unique<ControlPlane>(this->Opts.Control, MakeRead,
--- a/src/node/NodeCore.h
+++ b/src/node/NodeCore.h
@@ -82,7 +82,7 @@
 
   /// Reads a platform that holds records by their hash.
   NodeCore(const Options &Opts, Platform &Source, Hooks Hooks);
-  NodeCore(const Options &Opts, const MakeSource &MakeRead, Hooks Hooks);
+  NodeCore(const Options &Opts, const SourceFactory &MakeRead, Hooks Hooks);
 
   void observe(TimePoint Now);
   /// The machine was suspended for so long, and the steady clock with it.
--- a/src/reading/DocumentSource.h
+++ b/src/reading/DocumentSource.h
@@ -45,20 +45,20 @@
                      uint64_t Revision, TimePoint AskedAt)>
       Confirm;
   /// What this node holds already, so that only the rest is read.
-  std::function<DocumentPtr(const std::string &Topic)> Held;
+  std::function<DocumentPtr(const std::string &Topic)> CurrentDocument;
   std::function<void(const Error &, TimePoint)> Failed;
   /// The platform answers, but one item says nothing that can be used.
   std::function<void(const Error &, TimePoint)> Unreadable = [](const Error &,
                                                                 TimePoint) {};
   /// All that the platform said up to this revision was published.
-  std::function<void(uint64_t Revision)> Complete = [](uint64_t) {};
+  std::function<void(uint64_t Revision)> ReportComplete = [](uint64_t) {};
   /// Up to which revision nothing is missing from what this node holds, whoever
   /// told it; 0 where that is not known.
-  std::function<uint64_t()> CompleteAt = [] { return uint64_t(0); };
+  std::function<uint64_t()> CompleteRevision = [] { return uint64_t(0); };
   /// Reports the era of an answer from the platform.
-  std::function<void(uint64_t Era)> MetEra = [](uint64_t) {};
+  std::function<void(uint64_t Era)> EraObserved = [](uint64_t) {};
   /// The earliest platform era known to any node; nothing if none is known.
-  std::function<std::optional<uint64_t>()> FirstEra = [] {
+  std::function<std::optional<uint64_t>()> EarliestEra = [] {
     return std::optional<uint64_t>();
   };
   /// The platform's era changed, which means that it was restored from an older
@@ -78,7 +78,8 @@
 };
 
 /// Makes the source of one node.
-using MakeSource = std::function<std::unique_ptr<DocumentSource>(SourceHooks)>;
+using SourceFactory =
+    std::function<std::unique_ptr<DocumentSource>(SourceHooks)>;
 
 } // namespace hickorylift
 
--- a/src/reading/HttpPlatform.cpp
+++ b/src/reading/HttpPlatform.cpp
@@ -37,7 +37,7 @@
     : Opts(Opts), Http({Opts.Address, Opts.MaxValueBytes}, std::move(Now)) {}
 
 void HttpPlatform::send(const std::string &Path, const std::string &Step,
-                        Millis Limit, const GotReply &Done) {
+                        Millis Limit, const ReplyCallback &Done) {
   this->Http.fetch(Path, Step, Limit,
                    [Done, Step, Peer = this->Opts.Address](
                        const Result<HttpReply> &Got, TimePoint At) {
@@ -45,7 +45,7 @@
                    });
 }
 
-void HttpPlatform::get(const std::string &Key, TimePoint, GotValue Done) {
+void HttpPlatform::get(const std::string &Key, TimePoint, ValueCallback Done) {
   this->send("/v1/values/" + Key, "platform-get", this->Opts.Timeout,
              [Done](const Result<std::pair<uint64_t, std::string>> &Got,
                     TimePoint At) {
@@ -56,7 +56,7 @@
 }
 
 void HttpPlatform::watch(const std::vector<std::string> &Keys, uint64_t After,
-                         Millis Wait, TimePoint, GotChanges Done) {
+                         Millis Wait, TimePoint, ChangesCallback Done) {
   std::string Path = "/v1/watch?after=" + std::to_string(After) +
                      "&wait_ms=" + std::to_string(Wait.count());
   for (const std::string &Key : Keys)
--- a/src/reading/HttpPlatform.h
+++ b/src/reading/HttpPlatform.h
@@ -20,16 +20,16 @@
   /// Now gives the time at which an answer is handed on; the loop's clock.
   HttpPlatform(const Options &Opts, std::function<TimePoint()> Now);
 
-  void get(const std::string &Key, TimePoint Now, GotValue Done) override;
+  void get(const std::string &Key, TimePoint Now, ValueCallback Done) override;
   void watch(const std::vector<std::string> &Keys, uint64_t After, Millis Wait,
-             TimePoint Now, GotChanges Done) override;
+             TimePoint Now, ChangesCallback Done) override;
 
 private:
-  using GotReply =
+  using ReplyCallback =
       std::function<void(Result<std::pair<uint64_t, std::string>>, TimePoint)>;
 
   void send(const std::string &Path, const std::string &Step, Millis Limit,
-            const GotReply &Done);
+            const ReplyCallback &Done);
 
   Options Opts;
   HttpFetcher Http;
--- a/src/reading/Platform.h
+++ b/src/reading/Platform.h
@@ -33,16 +33,18 @@
 
 class Platform {
 public:
-  using GotValue = std::function<void(Result<PlatformValue>, TimePoint)>;
-  using GotChanges = std::function<void(Result<PlatformChanges>, TimePoint)>;
+  using ValueCallback = std::function<void(Result<PlatformValue>, TimePoint)>;
+  using ChangesCallback =
+      std::function<void(Result<PlatformChanges>, TimePoint)>;
 
   virtual ~Platform() = default;
 
   /// Reads one value. Done is called once, never from within get.
-  virtual void get(const std::string &Key, TimePoint Now, GotValue Done) = 0;
+  virtual void get(const std::string &Key, TimePoint Now,
+                   ValueCallback Done) = 0;
   /// Waits until one of the keys has a revision after After, at most Wait.
   virtual void watch(const std::vector<std::string> &Keys, uint64_t After,
-                     Millis Wait, TimePoint Now, GotChanges Done) = 0;
+                     Millis Wait, TimePoint Now, ChangesCallback Done) = 0;
 };
 
 } // namespace hickorylift
--- a/src/reading/Reader.cpp
+++ b/src/reading/Reader.cpp
@@ -78,14 +78,14 @@
                       const RecordHashes &New) {
   Manifest Out;
   Out.Version = Version;
-  Out.Contents = contentHash(writeContents(New));
+  Out.ContentsHash = contentHash(writeContents(New));
   if (Old.empty())
     return Out;
-  Out.Since = contentHash(writeContents(Old));
+  Out.BaseHash = contentHash(writeContents(Old));
   for (const auto &[Name, Hash] : New) {
     auto Found = Old.find(Name);
     if (Found == Old.end() || Found->second != Hash)
-      Out.Set[Name] = Hash;
+      Out.Changed[Name] = Hash;
   }
   for (const auto &[Name, Hash] : Old)
     if (!New.count(Name))
@@ -103,10 +103,10 @@
   Manifest Out;
   Out.Version =
       static_cast<uint64_t>(Top.integer("version", std::nullopt, 1, INT64_MAX));
-  Out.Contents = readHash(Top, "contents", std::nullopt);
-  Out.Since = readHash(Top, "since", "");
+  Out.ContentsHash = readHash(Top, "contents", std::nullopt);
+  Out.BaseHash = readHash(Top, "since", "");
   if (std::optional<JsonObject> Set = Top.object("set", false))
-    Out.Set = readHashes(*Set);
+    Out.Changed = readHashes(*Set);
   Out.Removed = Top.strings("removed");
   Top.finish();
   if (Faults.size() != Before)
@@ -117,84 +117,85 @@
 std::string writeManifest(const Manifest &Of) {
   Json::Value Out(Json::objectValue);
   Out["version"] = Json::UInt64(Of.Version);
-  Out["contents"] = hexHash(Of.Contents);
-  if (Of.Since == 0)
+  Out["contents"] = hexHash(Of.ContentsHash);
+  if (Of.BaseHash == 0)
     return writeJson(Out);
-  Out["since"] = hexHash(Of.Since);
-  Out["set"] = hashesJson(Of.Set);
+  Out["since"] = hexHash(Of.BaseHash);
+  Out["set"] = hashesJson(Of.Changed);
   for (const std::string &Name : Of.Removed)
     Out["removed"].append(Name);
   return writeJson(Out);
 }
 
-Reader::Reader(Options Opts, Platform &From, Hooks Hooks,
-               std::vector<std::string> DataCentres, uint64_t Seed)
-    : Opts(Opts), From(From), Hook(std::move(Hooks)),
+PlatformReader::PlatformReader(Options Opts, Platform &From, Hooks Hooks,
+                               std::vector<std::string> DataCentres,
+                               uint64_t Seed)
+    : Opts(Opts), Source(From), Hook(std::move(Hooks)),
       DataCentres(std::move(DataCentres)), Random(Seed),
       Budget(Opts.ReadsPerSecond, Opts.ReadBurst) {}
 
-std::vector<std::string> Reader::watchedKeys() const {
+std::vector<std::string> PlatformReader::watchedKeys() const {
   std::vector<std::string> Out{ManifestKey, EvacuationTopic};
   for (const std::string &Name : this->DataCentres)
     Out.push_back(listTopic(Name));
   return Out;
 }
 
-void Reader::wantEverything() {
-  this->WantLists.clear();
-  if (this->Current == Duty::List)
-    this->WantLists = {listTopic(this->DataCentres.front())};
-  if (this->Current != Duty::Once && this->Current != Duty::Watch)
+void PlatformReader::scheduleFullRead() {
+  this->PendingLists.clear();
+  if (this->CurrentDuty == Duty::List)
+    this->PendingLists = {listTopic(this->DataCentres.front())};
+  if (this->CurrentDuty != Duty::Once && this->CurrentDuty != Duty::Watch)
     return;
-  this->WantManifest = true;
-  this->WantLists.insert(EvacuationTopic);
+  this->ManifestPending = true;
+  this->PendingLists.insert(EvacuationTopic);
   for (const std::string &Name : this->DataCentres)
-    this->WantLists.insert(listTopic(Name));
+    this->PendingLists.insert(listTopic(Name));
 }
 
 // A change of a list costs one read here whoever watches, so no duty is done
 // less often than another.
-void Reader::tick(TimePoint Now, Duty Wanted) {
+void PlatformReader::tick(TimePoint Now, Duty Wanted) {
   if (Wanted == Duty::Spare)
     Wanted = Duty::Watch;
   if (Wanted == Duty::ListForOthers)
     Wanted = Duty::List;
-  if (Wanted != this->Current) {
-    this->Current = Wanted;
+  if (Wanted != this->CurrentDuty) {
+    this->CurrentDuty = Wanted;
     ++*this->Epoch;
     this->Busy = false;
     this->InProgress.reset();
-    this->WantManifest = false;
-    this->wantEverything();
+    this->ManifestPending = false;
+    this->scheduleFullRead();
     this->NotBefore =
         Now + Millis(this->Random() % (this->Opts.StartJitter.count() + 1));
   }
-  if (this->Current != Duty::None && !this->Busy && Now >= this->NotBefore)
-    this->step(Now);
+  if (this->CurrentDuty != Duty::None && !this->Busy && Now >= this->NotBefore)
+    this->startNextRequest(Now);
 }
 
 // A token bucket in front of every call. The platform counts all readers
 // together and refuses what is over; a node that asked on regardless would
 // spend the others' share.
-bool Reader::spend(TimePoint Now) {
+bool PlatformReader::takeReadToken(TimePoint Now) {
   if (!this->Budget.take(Now))
     return false;
   ++this->Reads;
   return true;
 }
 
-void Reader::step(TimePoint Now) {
+void PlatformReader::startNextRequest(TimePoint Now) {
   if (this->InProgress)
-    return this->gather(Now);
-  if (!this->WantLists.empty())
-    return this->readList(*this->WantLists.begin(), Now);
-  if (this->WantManifest)
-    return this->readManifestValue(Now);
-  if (this->Current == Duty::Watch)
+    return this->requestMissingRecords(Now);
+  if (!this->PendingLists.empty())
+    return this->requestList(*this->PendingLists.begin(), Now);
+  if (this->ManifestPending)
+    return this->requestManifest(Now);
+  if (this->CurrentDuty == Duty::Watch)
     this->startWatch(Now);
 }
 
-Platform::GotValue Reader::guarded(
+Platform::ValueCallback PlatformReader::dropIfStale(
     const std::function<void(const Result<PlatformValue> &, TimePoint)> &Then) {
   return
       [Then, Epoch = std::weak_ptr<uint64_t>(this->Epoch),
@@ -205,26 +206,26 @@
       };
 }
 
-void Reader::fail(const Error &Why, TimePoint Now) {
+void PlatformReader::fail(const Error &Why, TimePoint Now) {
   this->Busy = false;
   this->InProgress.reset();
-  this->wantEverything();
+  this->scheduleFullRead();
   // Full jitter: of a herd that failed together, no two come back together.
   Millis Longest =
-      std::min(this->Opts.LongestBackoff,
-               this->Opts.FirstBackoff * (1 << std::min(this->Failures, 10u)));
+      std::min(this->Opts.MaxBackoff, this->Opts.InitialBackoff *
+                                          (1 << std::min(this->Failures, 10u)));
   ++this->Failures;
   this->NotBefore = Now + Millis(this->Random() % (Longest.count() + 1));
   this->Hook.Failed(Why, Now);
 }
 
-void Reader::readList(const std::string &Key, TimePoint Now) {
-  if (!this->spend(Now))
+void PlatformReader::requestList(const std::string &Key, TimePoint Now) {
+  if (!this->takeReadToken(Now))
     return;
   this->Busy = true;
-  this->From.get(
+  this->Source.get(
       Key, Now,
-      this->guarded(
+      this->dropIfStale(
           [this, Key, Now](const Result<PlatformValue> &Got, TimePoint At) {
             this->onList(Key, Got, Now, At);
           }));
@@ -233,135 +234,139 @@
 // A data centre whose list is not published yet, or the first version. The
 // watch tells when it comes; failing instead would keep all the rest from being
 // read.
-bool Reader::notThereYet(const Error &Why) const {
-  return this->Current == Duty::Watch && Why.Code == Errc::NotFound;
+bool PlatformReader::isNotYetPublished(const Error &Why) const {
+  return this->CurrentDuty == Duty::Watch && Why.Code == Errc::NotFound;
 }
 
-void Reader::goOn(TimePoint Now) {
+void PlatformReader::continueReading(TimePoint Now) {
   this->Busy = false;
   this->succeed();
-  this->step(Now);
+  this->startNextRequest(Now);
 }
 
-void Reader::onList(const std::string &Key, const Result<PlatformValue> &Got,
-                    TimePoint AskedAt, TimePoint Now) {
+void PlatformReader::onList(const std::string &Key,
+                            const Result<PlatformValue> &Got, TimePoint AskedAt,
+                            TimePoint Now) {
   bool Evacuations = Key == EvacuationTopic;
   bool NeverWritten = Evacuations && !Got && Got.error().Code == Errc::NotFound;
-  if (NeverWritten || (!Got && this->notThereYet(Got.error()))) {
-    this->WantLists.erase(Key);
-    return this->goOn(Now);
+  if (NeverWritten || (!Got && this->isNotYetPublished(Got.error()))) {
+    this->PendingLists.erase(Key);
+    return this->continueReading(Now);
   }
   if (!Got)
     return this->fail(Got.error(), Now);
-  this->WantLists.erase(Key);
+  this->PendingLists.erase(Key);
   Result<DocumentPtr> List =
       Evacuations ? readEvacuations(Got->Bytes, Got->Revision)
                   : readInstanceList(Got->Bytes, listTopicDataCentre(Key),
                                      Got->Revision);
   if (!List)
-    return this->refuseValue(Got->Revision, List.error(), Now);
+    return this->skipInvalidValue(Got->Revision, List.error(), Now);
   this->Busy = false;
   this->succeed();
-  this->After = std::max(this->After, Got->Revision);
-  DocumentPtr Taken = this->rebased(Key, *List, Now);
+  this->WatchRevision = std::max(this->WatchRevision, Got->Revision);
+  DocumentPtr Taken = this->rebaseAfterRestore(Key, *List, Now);
   this->ListStamps[Key] = Taken->stamp();
   this->Hook.Publish(Key, Taken, Now);
   this->Hook.Confirm(Key, Taken->stamp().Version, Taken->stamp().Revision,
                      AskedAt);
-  this->step(Now);
+  this->startNextRequest(Now);
 }
 
-void Reader::readManifestValue(TimePoint Now) {
-  if (!this->spend(Now))
+void PlatformReader::requestManifest(TimePoint Now) {
+  if (!this->takeReadToken(Now))
     return;
   this->Busy = true;
-  this->From.get(ManifestKey, Now,
-                 this->guarded([this, Now](const Result<PlatformValue> &Got,
-                                           TimePoint At) {
-                   if (!Got && this->notThereYet(Got.error())) {
-                     this->WantManifest = false;
-                     return this->goOn(At);
-                   }
-                   if (!Got)
-                     return this->fail(Got.error(), At);
-                   this->onManifest(*Got, Now, At);
-                 }));
+  this->Source.get(
+      ManifestKey, Now,
+      this->dropIfStale(
+          [this, Now](const Result<PlatformValue> &Got, TimePoint At) {
+            if (!Got && this->isNotYetPublished(Got.error())) {
+              this->ManifestPending = false;
+              return this->continueReading(At);
+            }
+            if (!Got)
+              return this->fail(Got.error(), At);
+            this->onManifest(*Got, Now, At);
+          }));
 }
 
 // A value that cannot be read stays as it is until somebody publishes another:
 // reading it again would only cost reads, so go on and wait for a change.
-void Reader::refuseValue(uint64_t Revision, const Error &Why, TimePoint Now) {
+void PlatformReader::skipInvalidValue(uint64_t Revision, const Error &Why,
+                                      TimePoint Now) {
   this->Busy = false;
-  this->After = std::max(this->After, Revision);
+  this->WatchRevision = std::max(this->WatchRevision, Revision);
   this->Hook.Failed(Why, Now);
-  this->step(Now);
+  this->startNextRequest(Now);
 }
 
 // A manifest tells what has changed since the version before, so that a reader
 // that has that one reads a few hundred bytes. The whole contents of 940
 // services are 175 KB, and 47 KB/s at the two-year rate of changes, for each
 // reader.
-void Reader::onManifest(const PlatformValue &Value, TimePoint AskedAt,
-                        TimePoint Now) {
+void PlatformReader::onManifest(const PlatformValue &Value, TimePoint AskedAt,
+                                TimePoint Now) {
   FaultList Faults;
   std::optional<Manifest> Read = readManifest(Value.Bytes, Faults);
   if (!Read) {
-    this->WantManifest = false;
-    return this->refuseValue(Value.Revision,
-                             Error{Errc::Invalid, "read-manifest", "platform",
-                                   Faults.front().text()},
-                             Now);
+    this->ManifestPending = false;
+    return this->skipInvalidValue(Value.Revision,
+                                  Error{Errc::Invalid, "read-manifest",
+                                        "platform", Faults.front().text()},
+                                  Now);
   }
-  if (Read->Contents == this->KnownContents)
-    return this->startGathering(*Read, this->KnownRecords, Value.Revision,
-                                AskedAt, Now);
-  if (Read->Since == 0 || Read->Since != this->KnownContents)
-    return this->readWhole(*Read, Value.Revision, AskedAt, Now);
+  if (Read->ContentsHash == this->KnownContentsHash)
+    return this->startVersionRead(*Read, this->KnownRecords, Value.Revision,
+                                  AskedAt, Now);
+  if (Read->BaseHash == 0 || Read->BaseHash != this->KnownContentsHash)
+    return this->requestContents(*Read, Value.Revision, AskedAt, Now);
   RecordHashes Wanted = this->KnownRecords;
-  for (const auto &[Name, Hash] : Read->Set)
+  for (const auto &[Name, Hash] : Read->Changed)
     Wanted[Name] = Hash;
   for (const std::string &Name : Read->Removed)
     Wanted.erase(Name);
   // Whoever wrote the changes may have been wrong; the whole is the truth.
-  if (contentHash(writeContents(Wanted)) != Read->Contents)
-    return this->readWhole(*Read, Value.Revision, AskedAt, Now);
-  this->startGathering(*Read, std::move(Wanted), Value.Revision, AskedAt, Now);
+  if (contentHash(writeContents(Wanted)) != Read->ContentsHash)
+    return this->requestContents(*Read, Value.Revision, AskedAt, Now);
+  this->startVersionRead(*Read, std::move(Wanted), Value.Revision, AskedAt,
+                         Now);
 }
 
-void Reader::readWhole(const Manifest &Of, uint64_t Revision, TimePoint AskedAt,
-                       TimePoint Now) {
+void PlatformReader::requestContents(const Manifest &Of, uint64_t Revision,
+                                     TimePoint AskedAt, TimePoint Now) {
   this->Busy = false;
-  if (!this->spend(Now))
+  if (!this->takeReadToken(Now))
     return;
   this->Busy = true;
-  this->From.get(
-      ContentsPrefix + hexHash(Of.Contents), Now,
-      this->guarded([this, Of, Revision,
-                     AskedAt](const Result<PlatformValue> &Got, TimePoint At) {
+  this->Source.get(
+      ContentsPrefix + hexHash(Of.ContentsHash), Now,
+      this->dropIfStale([this, Of, Revision, AskedAt](
+                            const Result<PlatformValue> &Got, TimePoint At) {
         if (!Got)
           return this->fail(Got.error(), At);
         FaultList Faults;
         std::optional<RecordHashes> Wanted = readContents(Got->Bytes, Faults);
-        if (!Wanted || contentHash(Got->Bytes) != Of.Contents)
+        if (!Wanted || contentHash(Got->Bytes) != Of.ContentsHash)
           return this->fail(
               Error{Errc::BadMessage, "read-contents", "platform",
                     Wanted ? "does not match its hash" : Faults.front().text()},
               At);
-        this->startGathering(Of, std::move(*Wanted), Revision, AskedAt, At);
+        this->startVersionRead(Of, std::move(*Wanted), Revision, AskedAt, At);
       }));
 }
 
-void Reader::startGathering(const Manifest &Of, RecordHashes Wanted,
-                            uint64_t Revision, TimePoint AskedAt,
-                            TimePoint Now) {
+void PlatformReader::startVersionRead(const Manifest &Of, RecordHashes Wanted,
+                                      uint64_t Revision, TimePoint AskedAt,
+                                      TimePoint Now) {
   this->Busy = false;
-  this->WantManifest = false;
-  this->InProgress = std::make_unique<Gathering>();
+  this->ManifestPending = false;
+  this->InProgress = std::make_unique<VersionRead>();
   this->InProgress->Version = Of.Version;
-  this->InProgress->Contents = Of.Contents;
+  this->InProgress->ContentsHash = Of.ContentsHash;
   this->InProgress->Revision = Revision;
-  this->InProgress->AskedAt = AskedAt;
-  DocumentPtr Held = this->Hook.Held(ConfigTopic);
+  this->InProgress->RequestedAt = AskedAt;
+  DocumentPtr Held = this->Hook.CurrentDocument(ConfigTopic);
   for (const auto &[Name, Hash] : Wanted) {
     if (Held) {
       auto Old = Held->entries().find(Name);
@@ -371,47 +376,48 @@
         continue;
       }
     }
-    this->InProgress->Missing.emplace_back(Name, Hash);
+    this->InProgress->MissingRecords.emplace_back(Name, Hash);
   }
-  this->InProgress->Wanted = std::move(Wanted);
-  this->gather(Now);
+  this->InProgress->Hashes = std::move(Wanted);
+  this->requestMissingRecords(Now);
 }
 
-void Reader::gather(TimePoint Now) {
-  Gathering &Of = *this->InProgress;
-  while (!Of.Missing.empty() && Of.Running < this->Opts.Parallel) {
-    if (!this->spend(Now))
+void PlatformReader::requestMissingRecords(TimePoint Now) {
+  VersionRead &Of = *this->InProgress;
+  while (!Of.MissingRecords.empty() &&
+         Of.RunningReads < this->Opts.MaxParallelReads) {
+    if (!this->takeReadToken(Now))
       return;
-    auto [Name, Hash] = Of.Missing.back();
-    Of.Missing.pop_back();
-    ++Of.Running;
-    this->From.get(
+    auto [Name, Hash] = Of.MissingRecords.back();
+    Of.MissingRecords.pop_back();
+    ++Of.RunningReads;
+    this->Source.get(
         RecordPrefix + hexHash(Hash), Now,
-        this->guarded([this, Name = Name, Hash = Hash](
-                          const Result<PlatformValue> &Got, TimePoint At) {
+        this->dropIfStale([this, Name = Name, Hash = Hash](
+                              const Result<PlatformValue> &Got, TimePoint At) {
           this->onRecord(Name, Hash, Got, At);
         }));
   }
-  if (!Of.Missing.empty() || Of.Running != 0)
+  if (!Of.MissingRecords.empty() || Of.RunningReads != 0)
     return;
   DocumentPtr Doc =
       Document::make(Of.Version, Of.Revision, std::move(Of.Entries));
-  this->KnownContents = Of.Contents;
-  this->KnownRecords = std::move(Of.Wanted);
+  this->KnownContentsHash = Of.ContentsHash;
+  this->KnownRecords = std::move(Of.Hashes);
   this->ManifestVersion = Of.Version;
   this->ManifestRevision = Of.Revision;
-  this->After = std::max(this->After, Of.Revision);
-  TimePoint AskedAt = Of.AskedAt;
+  this->WatchRevision = std::max(this->WatchRevision, Of.Revision);
+  TimePoint AskedAt = Of.RequestedAt;
   this->InProgress.reset();
   this->succeed();
   this->Hook.Publish(ConfigTopic, Doc, Now);
   this->Hook.Confirm(ConfigTopic, this->ManifestVersion, this->ManifestRevision,
                      AskedAt);
-  this->step(Now);
+  this->startNextRequest(Now);
 }
 
-void Reader::onRecord(const std::string &Name, uint64_t Hash,
-                      const Result<PlatformValue> &Got, TimePoint Now) {
+void PlatformReader::onRecord(const std::string &Name, uint64_t Hash,
+                              const Result<PlatformValue> &Got, TimePoint Now) {
   if (!this->InProgress)
     return;
   if (!Got || contentHash(Got->Bytes) != Hash) {
@@ -422,72 +428,74 @@
                       Now);
   }
   this->InProgress->Entries[Name] = makeEntry(Name, Got->Bytes);
-  --this->InProgress->Running;
-  this->gather(Now);
+  --this->InProgress->RunningReads;
+  this->requestMissingRecords(Now);
 }
 
-void Reader::startWatch(TimePoint Now) {
-  if (!this->spend(Now))
+void PlatformReader::startWatch(TimePoint Now) {
+  if (!this->takeReadToken(Now))
     return;
   this->Busy = true;
-  this->From.watch(this->watchedKeys(), this->After, this->Opts.WatchWait, Now,
-                   [this, Now, Epoch = std::weak_ptr<uint64_t>(this->Epoch),
-                    Started = *this->Epoch](const Result<PlatformChanges> &Got,
-                                            TimePoint At) {
-                     auto Alive = Epoch.lock();
-                     if (Alive && *Alive == Started)
-                       this->onWatch(Got, Now, At);
-                   });
-}
-
-void Reader::onWatch(const Result<PlatformChanges> &Got, TimePoint AskedAt,
-                     TimePoint Now) {
+  this->Source.watch(this->watchedKeys(), this->WatchRevision,
+                     this->Opts.WatchWait, Now,
+                     [this, Now, Epoch = std::weak_ptr<uint64_t>(this->Epoch),
+                      Started = *this->Epoch](
+                         const Result<PlatformChanges> &Got, TimePoint At) {
+                       auto Alive = Epoch.lock();
+                       if (Alive && *Alive == Started)
+                         this->onWatch(Got, Now, At);
+                     });
+}
+
+void PlatformReader::onWatch(const Result<PlatformChanges> &Got,
+                             TimePoint AskedAt, TimePoint Now) {
   if (!Got)
     return this->fail(Got.error(), Now);
   this->Busy = false;
   this->succeed();
   for (const PlatformChange &One : Got->Changed) {
     if (One.Key == ManifestKey)
-      this->WantManifest = true;
+      this->ManifestPending = true;
     else
-      this->WantLists.insert(One.Key);
+      this->PendingLists.insert(One.Key);
   }
-  this->seen(Got->Revision, Now);
+  this->trackRevision(Got->Revision, Now);
   // It answers from an old copy. That confirms nothing, but it may have been
   // restored from that copy for good, and count on from there. So look at all
   // it has, now and then; what is old is refused by its stamp.
-  if (Got->Revision < this->After) {
-    this->After = Got->Revision;
-    this->wantEverything();
-    this->NotBefore = Now + this->Opts.LongestBackoff;
+  if (Got->Revision < this->WatchRevision) {
+    this->WatchRevision = Got->Revision;
+    this->scheduleFullRead();
+    this->NotBefore = Now + this->Opts.MaxBackoff;
     return;
   }
   this->confirmAll(AskedAt);
-  this->step(Now);
+  this->startNextRequest(Now);
 }
 
-void Reader::seen(uint64_t Revision, TimePoint Now) {
-  if (Revision >= this->Highest) {
-    this->Highest = Revision;
+void PlatformReader::trackRevision(uint64_t Revision, TimePoint Now) {
+  if (Revision >= this->HighestRevision) {
+    this->HighestRevision = Revision;
     this->BehindSince.reset();
   } else if (!this->BehindSince) {
     this->BehindSince = Now;
   }
 }
 
-bool Reader::restored(TimePoint Now) const {
+bool PlatformReader::isRestored(TimePoint Now) const {
   return this->BehindSince &&
-         Now - *this->BehindSince >= this->Opts.RestoredAfter;
+         Now - *this->BehindSince >= this->Opts.RestoreDetectionDelay;
 }
 
 // Lists are soft state: what the platform says now is right, also after it was
 // restored and counts its revisions from an old number. Such a list is entered
 // one above the one held, or nobody would take it until the count has caught
 // up. Versions are not: operators publish a higher number.
-DocumentPtr Reader::rebased(const std::string &Key, const DocumentPtr &List,
-                            TimePoint Now) const {
-  DocumentPtr Held = this->Hook.Held(Key);
-  if (!Held || !this->restored(Now) || List->stamp() > Held->stamp())
+DocumentPtr PlatformReader::rebaseAfterRestore(const std::string &Key,
+                                               const DocumentPtr &List,
+                                               TimePoint Now) const {
+  DocumentPtr Held = this->Hook.CurrentDocument(Key);
+  if (!Held || !this->isRestored(Now) || List->stamp() > Held->stamp())
     return List;
   if (List->stamp().Hash == Held->stamp().Hash)
     return Held;
@@ -495,12 +503,12 @@
                         List->entries());
 }
 
-void Reader::confirmAll(TimePoint AskedAt) {
-  if (!this->WantManifest)
+void PlatformReader::confirmAll(TimePoint AskedAt) {
+  if (!this->ManifestPending)
     this->Hook.Confirm(ConfigTopic, this->ManifestVersion,
                        this->ManifestRevision, AskedAt);
   for (const auto &[Key, Place] : this->ListStamps)
-    if (!this->WantLists.count(Key))
+    if (!this->PendingLists.count(Key))
       this->Hook.Confirm(Key, Place.Version, Place.Revision, AskedAt);
 }
 
--- a/src/reading/Reader.h
+++ b/src/reading/Reader.h
@@ -30,10 +30,10 @@
 struct Manifest {
   uint64_t Version = 0;
   /// Of the contents, written by writeContents; also their key.
-  uint64_t Contents = 0;
+  uint64_t ContentsHash = 0;
   /// The contents that the changes start from; 0 for none.
-  uint64_t Since = 0;
-  RecordHashes Set;
+  uint64_t BaseHash = 0;
+  RecordHashes Changed;
   std::vector<std::string> Removed;
 };
 
@@ -50,7 +50,7 @@
                                      FaultList &Faults);
 std::string writeManifest(const Manifest &Of);
 
-class Reader : public DocumentSource {
+class PlatformReader : public DocumentSource {
 public:
   using Duty = ReadDuty;
 
@@ -59,8 +59,8 @@
     /// grows up to this while nothing changes.
     Millis WatchWait{10000};
     /// First wait after a failure; doubles up to the longest, with jitter.
-    Millis FirstBackoff{200};
-    Millis LongestBackoff{5000};
+    Millis InitialBackoff{200};
+    Millis MaxBackoff{5000};
     /// A new duty starts within this, at random: a herd that starts together
     /// does not read together.
     Millis StartJitter{300};
@@ -70,9 +70,9 @@
     /// A platform that answers from before what it answered already is an old
     /// copy; after this long it counts as restored from one, and its lists are
     /// taken again.
-    Millis RestoredAfter{30000};
+    Millis RestoreDetectionDelay{30000};
     /// Records read at the same time.
-    size_t Parallel = 16;
+    size_t MaxParallelReads = 16;
   };
 
   using Hooks = SourceHooks;
@@ -80,36 +80,36 @@
   /// DataCentres: all of the deployment, this node's own first. Each reader
   /// watches all lists, so that a data centre whose own readers are dead is
   /// still known to the others.
-  Reader(Options Opts, Platform &From, Hooks Hooks,
-         std::vector<std::string> DataCentres, uint64_t Seed);
+  PlatformReader(Options Opts, Platform &From, Hooks Hooks,
+                 std::vector<std::string> DataCentres, uint64_t Seed);
 
   void tick(TimePoint Now, Duty Wanted) override;
   uint64_t reads() const override { return this->Reads; }
-  Duty duty() const { return this->Current; }
+  Duty duty() const { return this->CurrentDuty; }
 
 private:
-  struct Gathering {
+  struct VersionRead {
     uint64_t Version = 0;
-    uint64_t Contents = 0;
-    RecordHashes Wanted;
+    uint64_t ContentsHash = 0;
+    RecordHashes Hashes;
     uint64_t Revision = 0;
     EntryMap Entries;
-    std::vector<std::pair<std::string, uint64_t>> Missing;
-    size_t Running = 0;
-    TimePoint AskedAt;
+    std::vector<std::pair<std::string, uint64_t>> MissingRecords;
+    size_t RunningReads = 0;
+    TimePoint RequestedAt;
   };
 
-  bool spend(TimePoint Now);
-  void step(TimePoint Now);
-  void readList(const std::string &Key, TimePoint Now);
-  void readManifestValue(TimePoint Now);
-  void refuseValue(uint64_t Revision, const Error &Why, TimePoint Now);
+  bool takeReadToken(TimePoint Now);
+  void startNextRequest(TimePoint Now);
+  void requestList(const std::string &Key, TimePoint Now);
+  void requestManifest(TimePoint Now);
+  void skipInvalidValue(uint64_t Revision, const Error &Why, TimePoint Now);
   void onManifest(const PlatformValue &Value, TimePoint AskedAt, TimePoint Now);
-  void readWhole(const Manifest &Of, uint64_t Revision, TimePoint AskedAt,
-                 TimePoint Now);
-  void startGathering(const Manifest &Of, RecordHashes Wanted,
-                      uint64_t Revision, TimePoint AskedAt, TimePoint Now);
-  void gather(TimePoint Now);
+  void requestContents(const Manifest &Of, uint64_t Revision, TimePoint AskedAt,
+                       TimePoint Now);
+  void startVersionRead(const Manifest &Of, RecordHashes Wanted,
+                        uint64_t Revision, TimePoint AskedAt, TimePoint Now);
+  void requestMissingRecords(TimePoint Now);
   void onRecord(const std::string &Name, uint64_t Hash,
                 const Result<PlatformValue> &Got, TimePoint Now);
   void startWatch(TimePoint Now);
@@ -117,35 +117,35 @@
                TimePoint Now);
   void onList(const std::string &Key, const Result<PlatformValue> &Got,
               TimePoint AskedAt, TimePoint Now);
-  bool notThereYet(const Error &Why) const;
-  void goOn(TimePoint Now);
+  bool isNotYetPublished(const Error &Why) const;
+  void continueReading(TimePoint Now);
   void fail(const Error &Why, TimePoint Now);
   void succeed() { this->Failures = 0; }
-  void seen(uint64_t Revision, TimePoint Now);
-  bool restored(TimePoint Now) const;
-  DocumentPtr rebased(const std::string &Key, const DocumentPtr &List,
-                      TimePoint Now) const;
+  void trackRevision(uint64_t Revision, TimePoint Now);
+  bool isRestored(TimePoint Now) const;
+  DocumentPtr rebaseAfterRestore(const std::string &Key,
+                                 const DocumentPtr &List, TimePoint Now) const;
   std::vector<std::string> watchedKeys() const;
   void confirmAll(TimePoint AskedAt);
-  void wantEverything();
-  Platform::GotValue
-  guarded(const std::function<void(const Result<PlatformValue> &, TimePoint)>
-              &Then);
+  void scheduleFullRead();
+  Platform::ValueCallback dropIfStale(
+      const std::function<void(const Result<PlatformValue> &, TimePoint)>
+          &Then);
 
   Options Opts;
-  Platform &From;
+  Platform &Source;
   Hooks Hook;
   std::vector<std::string> DataCentres;
   std::mt19937_64 Random;
-  Duty Current = Duty::None;
+  Duty CurrentDuty = Duty::None;
   TimePoint NotBefore;
   bool Busy = false;
   // Keys of the lists to read.
-  std::set<std::string> WantLists;
-  bool WantManifest = false;
-  uint64_t After = 0;
+  std::set<std::string> PendingLists;
+  bool ManifestPending = false;
+  uint64_t WatchRevision = 0;
   // The highest revision seen, and since when the platform is behind it.
-  uint64_t Highest = 0;
+  uint64_t HighestRevision = 0;
   std::optional<TimePoint> BehindSince;
   // Last seen, for confirming.
   std::map<std::string, Stamp> ListStamps;
@@ -153,9 +153,9 @@
   uint64_t ManifestRevision = 0;
   // The contents read last, and their hash: what a manifest's changes may
   // start from.
-  uint64_t KnownContents = 0;
+  uint64_t KnownContentsHash = 0;
   RecordHashes KnownRecords;
-  std::unique_ptr<Gathering> InProgress;
+  std::unique_ptr<VersionRead> InProgress;
   unsigned Failures = 0;
   TokenBucket Budget;
   uint64_t Reads = 0;
--- a/src/reading/SplitReader.cpp
+++ b/src/reading/SplitReader.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-StoreContents narrowed(StoreContents Of, const std::string &Prefix) {
+StoreLayout narrowed(StoreLayout Of, const std::string &Prefix) {
   Of.Prefix = Prefix;
   return Of;
 }
@@ -28,7 +28,7 @@
 
 /// What operators write: their versions, and with them their evacuations, which
 /// are a few bytes each.
-std::string operatorPrefix(const StoreContents &Of) {
+std::string operatorPrefix(const StoreLayout &Of) {
   if (Of.EvacuationPrefix.empty())
     return Of.ConfigKey;
   auto Ends =
@@ -40,48 +40,51 @@
 } // namespace
 
 SplitReader::SplitReader(const Options &Opts, KeyValueStore &From,
-                         const StoreContents &Contents,
-                         const SourceHooks &Hooks,
+                         const StoreLayout &Contents, const SourceHooks &Hooks,
                          const std::vector<std::string> &DataCentres,
                          uint64_t Seed)
     : Opts(Opts), Hook(Hooks),
-      All(Opts.Read, From, Contents, Hooks, DataCentres, Seed),
-      Config(configOptions(Opts.Read), From,
-             narrowed(Contents, operatorPrefix(Contents)),
-             this->partHooks(this->ConfigAt), {}, Seed + 1),
-      Lists(Opts.Read, From, narrowed(Contents, Contents.InstancePrefix),
-            this->partHooks(this->ListsAt), DataCentres, Seed + 2) {}
+      CombinedReader(Opts.ReaderOptions, From, Contents, Hooks, DataCentres,
+                     Seed),
+      ConfigReader(configOptions(Opts.ReaderOptions), From,
+                   narrowed(Contents, operatorPrefix(Contents)),
+                   this->partHooks(this->ConfigCompleteAt), {}, Seed + 1),
+      ListReader(
+          Opts.ReaderOptions, From, narrowed(Contents, Contents.InstancePrefix),
+          this->partHooks(this->ListsCompleteAt), DataCentres, Seed + 2) {}
 
 // Only what both have published is complete.
 SourceHooks SplitReader::partHooks(uint64_t &CompleteAt) {
   SourceHooks Out = this->Hook;
-  Out.Complete = [this, &CompleteAt](uint64_t Revision) {
+  Out.ReportComplete = [this, &CompleteAt](uint64_t Revision) {
     CompleteAt = Revision;
-    this->Hook.Complete(std::min(this->ConfigAt, this->ListsAt));
+    this->Hook.ReportComplete(
+        std::min(this->ConfigCompleteAt, this->ListsCompleteAt));
   };
   return Out;
 }
 
 bool SplitReader::isLarge() const {
-  DocumentPtr Held = this->Hook.Held(ConfigTopic);
-  return Held && Held->byteSize() >= this->Opts.SplitFrom;
+  DocumentPtr Held = this->Hook.CurrentDocument(ConfigTopic);
+  return Held && Held->byteSize() >= this->Opts.SplitThresholdBytes;
 }
 
 void SplitReader::tick(TimePoint Now, ReadDuty Wanted) {
-  if (!this->Split && this->isLarge()) {
-    this->Split = true;
-    this->All.tick(Now, ReadDuty::None);
+  if (!this->IsSplit && this->isLarge()) {
+    this->IsSplit = true;
+    this->CombinedReader.tick(Now, ReadDuty::None);
   }
-  if (!this->Split)
-    return this->All.tick(Now, Wanted);
-  this->Config.learnEra(this->Lists.era(), Now);
-  this->Lists.learnEra(this->Config.era(), Now);
-  this->Config.tick(Now, Wanted);
-  this->Lists.tick(Now, Wanted);
+  if (!this->IsSplit)
+    return this->CombinedReader.tick(Now, Wanted);
+  this->ConfigReader.observeEra(this->ListReader.era(), Now);
+  this->ListReader.observeEra(this->ConfigReader.era(), Now);
+  this->ConfigReader.tick(Now, Wanted);
+  this->ListReader.tick(Now, Wanted);
 }
 
 uint64_t SplitReader::reads() const {
-  return this->All.reads() + this->Config.reads() + this->Lists.reads();
+  return this->CombinedReader.reads() + this->ConfigReader.reads() +
+         this->ListReader.reads();
 }
 
 } // namespace hickorylift
--- a/src/reading/SplitReader.h
+++ b/src/reading/SplitReader.h
@@ -21,14 +21,14 @@
 class SplitReader : public DocumentSource {
 public:
   struct Options {
-    StoreReader::Options Read;
+    StoreReader::Options ReaderOptions;
     /// Bytes of configuration from which on it has a watch of its own: 0.2 s
     /// of a link of 5 Mbit/s.
-    size_t SplitFrom = 128 * 1024;
+    size_t SplitThresholdBytes = 128 * 1024;
   };
 
   SplitReader(const Options &Opts, KeyValueStore &From,
-              const StoreContents &Contents, const SourceHooks &Hooks,
+              const StoreLayout &Contents, const SourceHooks &Hooks,
               const std::vector<std::string> &DataCentres, uint64_t Seed);
 
   void tick(TimePoint Now, ReadDuty Wanted) override;
@@ -41,12 +41,12 @@
   Options Opts;
   SourceHooks Hook;
   // Up to which revision each of the two has published everything.
-  uint64_t ConfigAt = 0;
-  uint64_t ListsAt = 0;
-  StoreReader All;
-  StoreReader Config;
-  StoreReader Lists;
-  bool Split = false;
+  uint64_t ConfigCompleteAt = 0;
+  uint64_t ListsCompleteAt = 0;
+  StoreReader CombinedReader;
+  StoreReader ConfigReader;
+  StoreReader ListReader;
+  bool IsSplit = false;
 };
 
 } // namespace hickorylift
--- a/src/reading/StoreFixture.h
+++ b/src/reading/StoreFixture.h
@@ -20,19 +20,19 @@
 
 namespace hickorylift {
 
-inline StoredItem instance(const std::string &Name, uint64_t Revision) {
+inline StoredItem storedInstance(const std::string &Name, uint64_t Revision) {
   return {"i/" + Name, "live", Revision, Revision};
 }
 
-inline StoreContents contents() {
-  StoreContents Out;
+inline StoreLayout testLayout() {
+  StoreLayout Out;
   Out.ConfigKey = "c";
   Out.InstancePrefix = "i/";
   Out.EvacuationPrefix = "c-e/";
-  Out.ReadConfig = [](const StoredItem &Item) -> Result<ReadVersion> {
+  Out.ReadConfig = [](const StoredItem &Item) -> Result<ParsedConfig> {
     if (Item.Value == "bad")
       return Error{Errc::Invalid, "read-item", "store", "bad"};
-    return ReadVersion{std::stoull(Item.Value), {}};
+    return ParsedConfig{std::stoull(Item.Value), {}};
   };
   Out.ReadInstance = [](const StoredItem &Item) -> Result<Instance> {
     Instance One;
@@ -55,7 +55,7 @@
       return Error{Errc::Invalid, "read-item", "store", Item.Key};
     return One;
   };
-  Out.KeyOf = [](const Instance &One) { return "i/" + One.Upstream; };
+  Out.InstanceKey = [](const Instance &One) { return "i/" + One.Upstream; };
   return Out;
 }
 
@@ -73,7 +73,7 @@
     Item.Value = Value;
     Item.Revision = this->Current.Revision;
     if (New)
-      Item.Created = this->Current.Revision;
+      Item.CreatedRevision = this->Current.Revision;
     this->Current.History.push_back({Key, this->Current.Revision, Item});
   }
 
@@ -84,35 +84,36 @@
         {Key, this->Current.Revision, std::nullopt});
   }
 
-  void copy() { this->Copy = this->Current; }
+  void saveCopy() { this->SavedCopy = this->Current; }
 
   /// Returns to the last copy in the next era and closes pending watches.
   void restore() {
-    for (Watch &One : this->Watches)
+    for (PendingWatch &One : this->PendingWatches)
       One.Closed = true;
-    this->Current = this->Copy;
+    this->Current = this->SavedCopy;
     if (this->Era)
       ++*this->Era;
   }
 
   uint64_t revision() const { return this->Current.Revision; }
-  size_t ranges() const { return this->Ranges; }
+  size_t rangeCalls() const { return this->RangeCalls; }
 
   void range(const std::string &Prefix, const std::string &, TimePoint,
-             GotPage Done) override {
-    ++this->Ranges;
-    this->Pages.emplace_back(Prefix, std::move(Done));
+             PageCallback Done) override {
+    ++this->RangeCalls;
+    this->PendingRanges.emplace_back(Prefix, std::move(Done));
   }
 
   void watch(const std::string &Prefix, uint64_t After, Millis Wait,
-             TimePoint Asked, GotChanges Done) override {
-    this->Watches.push_back({Prefix, After, Asked + Wait, std::move(Done)});
+             TimePoint Asked, ChangesCallback Done) override {
+    this->PendingWatches.push_back(
+        {Prefix, After, Asked + Wait, std::move(Done)});
   }
 
   void answer(TimePoint At) {
-    for (auto &[Prefix, Done] : std::exchange(this->Pages, {}))
+    for (auto &[Prefix, Done] : std::exchange(this->PendingRanges, {}))
       Done(this->page(Prefix), At);
-    for (Watch &One : std::exchange(this->Watches, {}))
+    for (PendingWatch &One : std::exchange(this->PendingWatches, {}))
       this->answer(One, At);
   }
 
@@ -123,11 +124,11 @@
     uint64_t Revision = 0;
   };
 
-  struct Watch {
+  struct PendingWatch {
     std::string Prefix;
     uint64_t After = 0;
     TimePoint Until;
-    GotChanges Done;
+    ChangesCallback Done;
     bool Closed = false;
   };
 
@@ -137,7 +138,7 @@
 
   ItemPage page(const std::string &Prefix) const {
     ItemPage Out;
-    Out.At = this->Current.Revision;
+    Out.Revision = this->Current.Revision;
     Out.Era = this->Era;
     for (const auto &[Key, Item] : this->Current.Items)
       if (startsWith(Key, Prefix))
@@ -145,28 +146,28 @@
     return Out;
   }
 
-  void answer(Watch &Of, TimePoint At) {
+  void answer(PendingWatch &Of, TimePoint At) {
     if (Of.Closed)
       return Of.Done(Error{Errc::Closed, "store-watch", "store", "closed"}, At);
     if (Of.After > this->Current.Revision)
       return Of.Done(Error{Errc::Stale, "store-watch", "store", "history gone"},
                      At);
     ItemChanges Out;
-    Out.At = this->Current.Revision;
+    Out.Revision = this->Current.Revision;
     Out.Era = this->Era;
     for (const ItemChange &One : this->Current.History)
       if (One.Revision > Of.After && startsWith(One.Key, Of.Prefix))
         Out.Changes.push_back(One);
     if (Out.Changes.empty() && At < Of.Until)
-      return this->Watches.push_back(std::move(Of));
+      return this->PendingWatches.push_back(std::move(Of));
     Of.Done(Out, At);
   }
 
   State Current;
-  State Copy;
-  size_t Ranges = 0;
-  std::vector<std::pair<std::string, GotPage>> Pages;
-  std::vector<Watch> Watches;
+  State SavedCopy;
+  size_t RangeCalls = 0;
+  std::vector<std::pair<std::string, PageCallback>> PendingRanges;
+  std::vector<PendingWatch> PendingWatches;
 };
 
 } // namespace hickorylift
--- a/src/reading/StorePublishing.cpp
+++ b/src/reading/StorePublishing.cpp
@@ -13,14 +13,14 @@
 
 // Documents with kept entries differ from the store, so the copy is not
 // reported as complete while there are any.
-void StoreReader::tellComplete() {
-  if (!this->ListsWait && !this->EvacuationsWait)
-    this->Hook.Complete(this->place(this->At));
+void StoreReader::reportComplete() {
+  if (!this->ListsIncludeKept && !this->EvacuationsIncludeKept)
+    this->Hook.ReportComplete(this->globalRevision(this->CopyRevision));
 }
 
 bool StoreReader::readsEvacuations() const {
-  const std::string &Prefix = this->Contents.EvacuationPrefix;
-  return !Prefix.empty() && Prefix.rfind(this->Contents.Prefix, 0) == 0;
+  const std::string &Prefix = this->Layout.EvacuationPrefix;
+  return !Prefix.empty() && Prefix.rfind(this->Layout.Prefix, 0) == 0;
 }
 
 // Also where there are none: that one is over must overtake what others still
@@ -29,14 +29,15 @@
   if (!this->readsEvacuations())
     return;
   std::set<std::string> DataCentres;
-  for (const std::string &Key : this->Evacuations)
-    DataCentres.insert(Key.substr(this->Contents.EvacuationPrefix.size()));
-  this->EvacuationsWait =
-      Now < this->RestoreSettledAt && this->keepMissingEvacuations(DataCentres);
+  for (const std::string &Key : this->EvacuationKeys)
+    DataCentres.insert(Key.substr(this->Layout.EvacuationPrefix.size()));
+  this->EvacuationsIncludeKept =
+      Now < this->RestoreGraceEnd && this->keepMissingEvacuations(DataCentres);
   DocumentPtr New = this->makeDocument(
-      makeEvacuations(0, DataCentres)->entries(), this->EvacuationsWait);
-  bool Known = this->holds(EvacuationTopic, New);
-  this->EvacuationDoc = Known ? this->Hook.Held(EvacuationTopic) : New;
+      makeEvacuations(0, DataCentres)->entries(), this->EvacuationsIncludeKept);
+  bool Known = this->nodeHas(EvacuationTopic, New);
+  this->EvacuationDoc =
+      Known ? this->Hook.CurrentDocument(EvacuationTopic) : New;
   if (Known)
     return;
   this->Hook.Publish(EvacuationTopic, New, Now);
@@ -46,12 +47,13 @@
 // lost. Returns whether any were added.
 bool StoreReader::keepMissingEvacuations(
     std::set<std::string> &DataCentres) const {
-  DocumentPtr Held = this->Hook.Held(EvacuationTopic);
+  DocumentPtr Held = this->Hook.CurrentDocument(EvacuationTopic);
   if (!Held)
     return false;
   bool Kept = false;
   for (const std::string &Name : evacuatedIn(*Held))
-    if (!this->RemovedEvacuations.count(this->Contents.EvacuationPrefix + Name))
+    if (!this->RemovedEvacuationKeys.count(this->Layout.EvacuationPrefix +
+                                           Name))
       Kept |= DataCentres.insert(Name).second;
   return Kept;
 }
@@ -59,35 +61,36 @@
 // Makes a document at the current revision. One with kept entries is ordered
 // just before the store's content at that revision, which then supersedes it.
 DocumentPtr StoreReader::makeDocument(EntryMap Entries, bool HasKept) const {
-  uint64_t At = this->place(this->At);
+  uint64_t At = this->globalRevision(this->CopyRevision);
   return Document::make(At, HasKept && At > 0 ? At - 1 : At,
                         std::move(Entries));
 }
 
 // Whether the document that the node holds for Topic has the content of Doc.
-bool StoreReader::holds(const std::string &Topic,
-                        const DocumentPtr &Doc) const {
-  DocumentPtr Held = this->Hook.Held(Topic);
+bool StoreReader::nodeHas(const std::string &Topic,
+                          const DocumentPtr &Doc) const {
+  DocumentPtr Held = this->Hook.CurrentDocument(Topic);
   return Held && Held->stamp().Hash == Doc->stamp().Hash;
 }
 
 // Whether the node lacks a document that was read. The spreader refuses
 // documents while a neighbour announces a newer one, and the neighbour may
 // disconnect before sending it.
-bool StoreReader::wasRefused() const {
-  if (this->EvacuationDoc && !this->holds(EvacuationTopic, this->EvacuationDoc))
+bool StoreReader::hasRefusedDocument() const {
+  if (this->EvacuationDoc &&
+      !this->nodeHas(EvacuationTopic, this->EvacuationDoc))
     return true;
   if (this->ConfigDoc && this->lacksConfig())
     return true;
-  return std::any_of(this->Published.begin(), this->Published.end(),
+  return std::any_of(this->ListDocs.begin(), this->ListDocs.end(),
                      [this](const auto &One) {
-                       return !this->holds(listTopic(One.first), One.second);
+                       return !this->nodeHas(listTopic(One.first), One.second);
                      });
 }
 
 // Whether the node holds no version or an older one than was read.
 bool StoreReader::lacksConfig() const {
-  DocumentPtr Held = this->Hook.Held(ConfigTopic);
+  DocumentPtr Held = this->Hook.CurrentDocument(ConfigTopic);
   return !Held || Held->stamp() < this->ConfigDoc->stamp();
 }
 
@@ -96,13 +99,14 @@
   if (!this->PendingConfig)
     return false;
   StoredItem Item = *std::exchange(this->PendingConfig, std::nullopt);
-  Result<ReadVersion> Read = this->Contents.ReadConfig(Item);
+  Result<ParsedConfig> Read = this->Layout.ReadConfig(Item);
   if (!Read) {
     this->Hook.Failed(Read.error(), Now);
     return false;
   }
-  DocumentPtr New = Document::make(Read->Version, this->place(Item.Revision),
-                                   std::move((*Read).Records));
+  DocumentPtr New =
+      Document::make(Read->Version, this->globalRevision(Item.Revision),
+                     std::move((*Read).Records));
   if (this->ConfigDoc && this->ConfigDoc->stamp() == New->stamp())
     return false;
   this->ConfigDoc = New;
@@ -118,19 +122,19 @@
 // Two entries may name one place for a while: the address of one that is gone
 // is given out again. The later one is the one that is there.
 StoreReader::EntriesByDataCentre StoreReader::listEntries() const {
-  std::map<std::string, const Listed *> ByName;
+  std::map<std::string, const ListedInstance *> ByName;
   for (const auto &[Key, One] : this->Instances) {
-    const Listed *&Kept = ByName[One.Who.Name];
-    if (!Kept || Kept->Created < One.Created)
+    const ListedInstance *&Kept = ByName[One.Details.Name];
+    if (!Kept || Kept->CreatedRevision < One.CreatedRevision)
       Kept = &One;
   }
   EntriesByDataCentre Out;
   for (const std::string &Name : this->DataCentres)
     Out[Name];
   for (const auto &[Name, One] : ByName) {
-    auto Place = Out.find(One->Who.DataCentre);
+    auto Place = Out.find(One->Details.DataCentre);
     if (Place != Out.end())
-      Place->second[Name] = makeEntry(Name, writeInstance(One->Who));
+      Place->second[Name] = makeEntry(Name, writeInstance(One->Details));
   }
   return Out;
 }
@@ -139,20 +143,21 @@
 // restore also missing drains. Uses the lists the node holds, whatever their
 // source: a process that started while the store was away has read nothing
 // itself and has its lists from others. Returns whether anything was kept.
-bool StoreReader::keepMissing(EntriesByDataCentre &Lists, TimePoint Now) const {
+bool StoreReader::keepMissingEntries(EntriesByDataCentre &Lists,
+                                     TimePoint Now) const {
   std::set<std::string> Read;
   for (const auto &[Key, One] : this->Instances)
-    Read.insert(One.Who.Name);
+    Read.insert(One.Details.Name);
   bool Kept = false;
   for (auto &[Place, Entries] : Lists) {
-    DocumentPtr Held = this->Hook.Held(listTopic(Place));
+    DocumentPtr Held = this->Hook.CurrentDocument(listTopic(Place));
     if (!Held)
       continue;
     for (const auto &[Name, Entry] : Held->entries()) {
       if (!Read.count(Name)) {
         Entries[Name] = Entry;
         Kept = true;
-      } else if (Now < this->RestoreSettledAt) {
+      } else if (Now < this->RestoreGraceEnd) {
         Kept |= this->keepMissingDrain(Entries, Name, Entry);
       }
     }
@@ -179,11 +184,14 @@
 
 void StoreReader::publishLists(TimePoint Now) {
   EntriesByDataCentre Lists = this->listEntries();
-  this->ListsWait = Now < this->SettledAt && this->keepMissing(Lists, Now);
+  this->ListsIncludeKept =
+      Now < this->InstanceGraceEnd && this->keepMissingEntries(Lists, Now);
   for (auto &[Place, Entries] : Lists) {
-    DocumentPtr New = this->makeDocument(std::move(Entries), this->ListsWait);
-    bool Known = this->holds(listTopic(Place), New);
-    this->Published[Place] = Known ? this->Hook.Held(listTopic(Place)) : New;
+    DocumentPtr New =
+        this->makeDocument(std::move(Entries), this->ListsIncludeKept);
+    bool Known = this->nodeHas(listTopic(Place), New);
+    this->ListDocs[Place] =
+        Known ? this->Hook.CurrentDocument(listTopic(Place)) : New;
     if (!Known)
       this->Hook.Publish(listTopic(Place), New, Now);
   }
@@ -193,12 +201,12 @@
   if (this->ConfigDoc)
     this->Hook.Confirm(ConfigTopic, this->ConfigDoc->stamp().Version,
                        this->ConfigDoc->stamp().Revision, AskedAt);
-  if (this->EvacuationDoc && !this->EvacuationsWait)
+  if (this->EvacuationDoc && !this->EvacuationsIncludeKept)
     this->Hook.Confirm(EvacuationTopic, this->EvacuationDoc->stamp().Version,
                        this->EvacuationDoc->stamp().Revision, AskedAt);
-  if (this->ListsWait)
+  if (this->ListsIncludeKept)
     return;
-  for (const auto &[Place, Doc] : this->Published)
+  for (const auto &[Place, Doc] : this->ListDocs)
     this->Hook.Confirm(listTopic(Place), Doc->stamp().Version,
                        Doc->stamp().Revision, AskedAt);
 }
--- a/src/reading/StoreReader.cpp
+++ b/src/reading/StoreReader.cpp
@@ -43,57 +43,59 @@
 } // namespace
 
 StoreReader::StoreReader(Options Opts, KeyValueStore &From,
-                         StoreContents Contents, SourceHooks Hooks,
+                         StoreLayout Contents, SourceHooks Hooks,
                          std::vector<std::string> DataCentres, uint64_t Seed)
-    : Opts(Opts), From(From), Contents(std::move(Contents)),
+    : Opts(Opts), Store(From), Layout(std::move(Contents)),
       Hook(std::move(Hooks)), DataCentres(std::move(DataCentres)), Random(Seed),
       Budget(Opts.ReadsPerSecond, Opts.ReadBurst) {}
 
 void StoreReader::tick(TimePoint Now, ReadDuty Wanted) {
   bool Reads = Wanted != ReadDuty::None;
-  bool Read = this->Current != ReadDuty::None;
-  this->Current = Wanted;
+  bool Read = this->CurrentDuty != ReadDuty::None;
+  this->CurrentDuty = Wanted;
   if (Reads != Read) {
     ++*this->Epoch;
     this->Busy = false;
-    this->Gathered.clear();
+    this->PageItems.clear();
     this->NotBefore = Now + this->startDelay();
     // Others have read on meanwhile.
-    this->WantAll |= Reads && this->Hook.CompleteAt() > this->place(this->At);
+    this->FullReadNeeded |=
+        Reads && this->Hook.CompleteRevision() >
+                     this->globalRevision(this->CopyRevision);
   }
-  if (this->EvacuationsWait && Now >= this->RestoreSettledAt)
+  if (this->EvacuationsIncludeKept && Now >= this->RestoreGraceEnd)
     this->publishEvacuations(Now);
-  if (this->ListsWait && Now >= this->SettledAt)
+  if (this->ListsIncludeKept && Now >= this->InstanceGraceEnd)
     this->publishLists(Now);
   if (Reads && !this->Busy && Now >= this->NotBefore)
-    this->step(Now);
+    this->startNextRequest(Now);
 }
 
 Millis StoreReader::startDelay() {
-  if (this->Current == ReadDuty::ListForOthers)
+  if (this->CurrentDuty == ReadDuty::ListForOthers)
     return Millis(0);
   return Millis(this->Random() % (this->Opts.StartJitter.count() + 1));
 }
 
-void StoreReader::step(TimePoint Now) {
+void StoreReader::startNextRequest(TimePoint Now) {
   if (!this->Budget.take(Now))
     return;
   ++this->Reads;
   this->Busy = true;
-  if (this->WantAll && this->Gathered.empty() && this->resume())
-    this->WantAll = false;
-  if (!this->WantAll)
-    return this->watch(Now);
-  std::string After = this->Gathered.empty() ? "" : this->Gathered.back().Key;
-  this->list(After, Now);
+  if (this->FullReadNeeded && this->PageItems.empty() && this->resume())
+    this->FullReadNeeded = false;
+  if (!this->FullReadNeeded)
+    return this->startWatch(Now);
+  std::string After = this->PageItems.empty() ? "" : this->PageItems.back().Key;
+  this->requestPage(After, Now);
 }
 
 bool StoreReader::resume() {
-  uint64_t From = this->Hook.CompleteAt();
+  uint64_t From = this->Hook.CompleteRevision();
   if (!this->resumeAt(From) || !this->resumeConfig() ||
       !this->resumeEvacuations() || !this->resumeLists())
     return false;
-  this->At = From & RevisionMask;
+  this->CopyRevision = From & RevisionMask;
   return true;
 }
 
@@ -101,25 +103,25 @@
 // there. Returns false if Place belongs to another era than the known one.
 bool StoreReader::resumeAt(uint64_t Place) {
   uint64_t Revision = Place & RevisionMask;
-  std::optional<uint64_t> First = this->Hook.FirstEra();
+  std::optional<uint64_t> First = this->Hook.EarliestEra();
   std::optional<uint64_t> PlaceEra;
   if (First)
     PlaceEra = *First + (Place >> EraShift);
   if (this->Era && PlaceEra != this->Era)
     return false;
   this->Era = PlaceEra;
-  return Revision > this->HistoryGoneAt && Revision >= this->At;
+  return Revision > this->HistoryGoneAt && Revision >= this->CopyRevision;
 }
 
 bool StoreReader::resumeConfig() {
-  if (this->Contents.ConfigKey.rfind(this->Contents.Prefix, 0) != 0)
+  if (this->Layout.ConfigKey.rfind(this->Layout.Prefix, 0) != 0)
     return true;
-  DocumentPtr Held = this->Hook.Held(ConfigTopic);
+  DocumentPtr Held = this->Hook.CurrentDocument(ConfigTopic);
   if (!Held)
     return false;
   // A version held from an earlier era has no revision in this one.
   uint64_t Place = Held->stamp().Revision;
-  bool OfThisEra = Place >= this->place(0);
+  bool OfThisEra = Place >= this->globalRevision(0);
   this->ConfigDoc = Held;
   this->ConfigRevision = OfThisEra ? Place & RevisionMask : 0;
   this->PendingConfig.reset();
@@ -129,46 +131,47 @@
 bool StoreReader::resumeEvacuations() {
   if (!this->readsEvacuations())
     return true;
-  DocumentPtr Held = this->Hook.Held(EvacuationTopic);
+  DocumentPtr Held = this->Hook.CurrentDocument(EvacuationTopic);
   if (!Held)
     return false;
   this->EvacuationDoc = Held;
-  this->Evacuations.clear();
+  this->EvacuationKeys.clear();
   for (const std::string &Name : evacuatedIn(*Held))
-    this->Evacuations.insert(this->Contents.EvacuationPrefix + Name);
+    this->EvacuationKeys.insert(this->Layout.EvacuationPrefix + Name);
   return true;
 }
 
 // When an item was created is not in a list. Of two for one place the one that
 // is read later has a greater number, and counts.
 bool StoreReader::resumeLists() {
-  std::map<std::string, Listed> Told;
+  std::map<std::string, ListedInstance> Told;
   std::map<std::string, DocumentPtr> Lists;
   FaultList Faults;
   for (const std::string &Place : this->DataCentres) {
-    DocumentPtr Held = this->Hook.Held(listTopic(Place));
+    DocumentPtr Held = this->Hook.CurrentDocument(listTopic(Place));
     if (!Held)
       return false;
     for (const auto &[Name, Entry] : Held->entries()) {
       std::optional<Instance> One = readInstance(*Entry.Bytes, Name, Faults);
       if (!One || One->Upstream.empty())
         return false;
-      Told[this->Contents.KeyOf(*One)] = {*One, /*Created=*/0, One->ColdLeft};
+      Told[this->Layout.InstanceKey(*One)] = {*One, /*Created=*/0,
+                                              One->ColdLeft};
     }
     Lists[Place] = Held;
   }
   for (const auto &[Key, One] : Told)
-    if (One.Who.Incarnation != 0)
-      this->LatestStart[Key] =
-          std::max(this->LatestStart[Key], One.Who.Incarnation);
+    if (One.Details.Incarnation != 0)
+      this->LatestIncarnation[Key] =
+          std::max(this->LatestIncarnation[Key], One.Details.Incarnation);
   this->Instances = std::move(Told);
-  this->Published = std::move(Lists);
+  this->ListDocs = std::move(Lists);
   return true;
 }
 
 template <typename T>
-std::function<void(Result<T>, TimePoint)>
-StoreReader::guarded(std::function<void(const Result<T> &, TimePoint)> Then) {
+std::function<void(Result<T>, TimePoint)> StoreReader::dropIfStale(
+    std::function<void(const Result<T> &, TimePoint)> Then) {
   return [Then = std::move(Then), Epoch = std::weak_ptr<uint64_t>(this->Epoch),
           Started = *this->Epoch](const Result<T> &Got, TimePoint Now) {
     auto Alive = Epoch.lock();
@@ -177,10 +180,10 @@
   };
 }
 
-void StoreReader::list(const std::string &After, TimePoint Now) {
-  this->From.range(
-      this->Contents.Prefix, After, Now,
-      this->guarded<ItemPage>(
+void StoreReader::requestPage(const std::string &After, TimePoint Now) {
+  this->Store.range(
+      this->Layout.Prefix, After, Now,
+      this->dropIfStale<ItemPage>(
           [this, Now](const Result<ItemPage> &Got, TimePoint Then) {
             this->onPage(Got, Now, Then);
           }));
@@ -191,38 +194,38 @@
   if (!Got)
     return this->fail(Got.error(), Now);
   this->succeed(Now);
-  bool IsFirst = this->Gathered.empty();
+  bool IsFirst = this->PageItems.empty();
   EraCheck Check = this->checkEra(Got->Era, Now);
   if (Check == EraCheck::Earlier || (Check == EraCheck::Later && !IsFirst))
     return;
   if (IsFirst)
-    this->GatheredAt = Got->At;
-  this->Gathered.insert(this->Gathered.end(), Got->Items.begin(),
-                        Got->Items.end());
-  if (Got->More && !Got->Items.empty())
-    return this->step(Now);
-  this->WantAll = false;
-  this->At = this->GatheredAt;
+    this->FirstPageRevision = Got->Revision;
+  this->PageItems.insert(this->PageItems.end(), Got->Items.begin(),
+                         Got->Items.end());
+  if (Got->HasMore && !Got->Items.empty())
+    return this->startNextRequest(Now);
+  this->FullReadNeeded = false;
+  this->CopyRevision = this->FirstPageRevision;
   this->Instances.clear();
-  this->Evacuations.clear();
+  this->EvacuationKeys.clear();
   this->ConfigRevision = 0;
-  for (const StoredItem &Item : std::exchange(this->Gathered, {}))
-    this->put(Item, Now);
+  for (const StoredItem &Item : std::exchange(this->PageItems, {}))
+    this->applyItem(Item, Now);
   this->publishEvacuations(Now);
   this->publishConfig(Now);
   this->publishLists(Now);
   this->confirmAll(AskedAt);
-  this->tellComplete();
-  this->step(Now);
+  this->reportComplete();
+  this->startNextRequest(Now);
 }
 
-void StoreReader::watch(TimePoint Now) {
-  this->WatchedAt = Now;
+void StoreReader::startWatch(TimePoint Now) {
+  this->WatchStartedAt = Now;
   Millis Wait =
       this->Failing ? this->Opts.WatchWaitAfterFailure : this->Opts.WatchWait;
-  this->From.watch(
-      this->Contents.Prefix, this->At, Wait, Now,
-      this->guarded<ItemChanges>(
+  this->Store.watch(
+      this->Layout.Prefix, this->CopyRevision, Wait, Now,
+      this->dropIfStale<ItemChanges>(
           [this, Now](const Result<ItemChanges> &Got, TimePoint Then) {
             this->onChanges(Got, Now, Then);
           }));
@@ -235,28 +238,29 @@
   this->succeed(Now);
   if (this->checkEra(Got->Era, Now) != EraCheck::Same)
     return;
-  this->At = std::max(this->At, Got->At);
+  this->CopyRevision = std::max(this->CopyRevision, Got->Revision);
   for (const ItemChange &One : Got->Changes) {
-    if (One.Now) {
-      this->put(*One.Now, Now);
+    if (One.Item) {
+      this->applyItem(*One.Item, Now);
       continue;
     }
     this->Instances.erase(One.Key);
-    if (this->Evacuations.erase(One.Key) != 0)
-      this->RemovedEvacuations.insert(One.Key);
+    if (this->EvacuationKeys.erase(One.Key) != 0)
+      this->RemovedEvacuationKeys.insert(One.Key);
   }
-  if (!Got->Changes.empty() || this->wasRefused()) {
+  if (!Got->Changes.empty() || this->hasRefusedDocument()) {
     this->publishEvacuations(Now);
     this->publishConfig(Now);
     this->publishLists(Now);
   }
   this->confirmAll(AskedAt);
-  this->tellComplete();
-  bool Spare = this->Current == ReadDuty::Spare;
+  this->reportComplete();
+  bool Spare = this->CurrentDuty == ReadDuty::Spare;
   this->NotBefore =
-      this->WatchedAt + (Spare ? this->Opts.SpareGap : this->Opts.WatchGap);
+      this->WatchStartedAt +
+      (Spare ? this->Opts.SpareWatchInterval : this->Opts.WatchInterval);
   if (Now >= this->NotBefore)
-    this->step(Now);
+    this->startNextRequest(Now);
 }
 
 // Compares the era of an answer with the current one. An answer of a later era
@@ -276,8 +280,8 @@
   return EraCheck::Earlier;
 }
 
-void StoreReader::learnEra(const std::optional<uint64_t> &Reported,
-                           TimePoint Now) {
+void StoreReader::observeEra(const std::optional<uint64_t> &Reported,
+                             TimePoint Now) {
   if (!this->Era || !Reported || *Reported <= *this->Era)
     return;
   ++*this->Epoch;
@@ -287,26 +291,26 @@
 
 void StoreReader::beginEra(uint64_t New, TimePoint Now) {
   if (this->Era) {
-    this->SettledAt = Now + this->Opts.SettleFor;
-    this->RestoreSettledAt = this->SettledAt;
+    this->InstanceGraceEnd = Now + this->Opts.MissingEntryGrace;
+    this->RestoreGraceEnd = this->InstanceGraceEnd;
     this->Hook.Restored(*this->Era, New, Now);
   }
   this->Era = New;
-  this->Hook.MetEra(New);
-  this->WantAll = true;
-  this->At = 0;
+  this->Hook.EraObserved(New);
+  this->FullReadNeeded = true;
+  this->CopyRevision = 0;
   this->HistoryGoneAt = 0;
-  this->Gathered.clear();
-  this->RemovedEvacuations.clear();
+  this->PageItems.clear();
+  this->RemovedEvacuationKeys.clear();
   this->NotBefore = Now + this->startDelay();
 }
 
 // Returns the position of a revision of the current era in the order across
 // eras.
-uint64_t StoreReader::place(uint64_t Revision) const {
+uint64_t StoreReader::globalRevision(uint64_t Revision) const {
   uint64_t CurrentEra = this->Era.value_or(0);
   uint64_t First =
-      std::min(this->Hook.FirstEra().value_or(CurrentEra), CurrentEra);
+      std::min(this->Hook.EarliestEra().value_or(CurrentEra), CurrentEra);
   return ((CurrentEra - First) << EraShift) + Revision;
 }
 
@@ -315,41 +319,41 @@
   this->Failures = 0;
   if (!std::exchange(this->Failing, false))
     return;
-  this->SettledAt = Now + this->Opts.SettleFor;
+  this->InstanceGraceEnd = Now + this->Opts.MissingEntryGrace;
   this->Hook.Recovered(Now);
 }
 
 void StoreReader::fail(const Error &Why, TimePoint Now) {
   this->Busy = false;
-  this->Gathered.clear();
+  this->PageItems.clear();
   bool HistoryGone = Why.Code == Errc::Stale;
-  this->WantAll |= HistoryGone;
+  this->FullReadNeeded |= HistoryGone;
   if (HistoryGone)
-    this->HistoryGoneAt = std::max(this->HistoryGoneAt, this->At);
+    this->HistoryGoneAt = std::max(this->HistoryGoneAt, this->CopyRevision);
   this->Failing |= !HistoryGone;
   // Full jitter: of a herd that failed together, no two come back together.
   Millis Longest =
-      std::min(this->Opts.LongestBackoff,
-               this->Opts.FirstBackoff *
+      std::min(this->Opts.MaxBackoff,
+               this->Opts.InitialBackoff *
                    (1 << std::min(this->Failures, MaxBackoffShift)));
   ++this->Failures;
   this->NotBefore = Now + Millis(this->Random() % (Longest.count() + 1));
   this->Hook.Failed(Why, Now);
 }
 
-void StoreReader::put(const StoredItem &Item, TimePoint Now) {
-  if (Item.Key == this->Contents.ConfigKey) {
+void StoreReader::applyItem(const StoredItem &Item, TimePoint Now) {
+  if (Item.Key == this->Layout.ConfigKey) {
     if (this->ConfigRevision < Item.Revision) {
       this->ConfigRevision = Item.Revision;
       this->PendingConfig = Item;
     }
     return;
   }
-  if (Item.Key.rfind(this->Contents.InstancePrefix, 0) == 0)
-    this->putInstance(Item, Now);
+  if (Item.Key.rfind(this->Layout.InstancePrefix, 0) == 0)
+    this->applyInstance(Item, Now);
   else if (this->readsEvacuations() &&
-           Item.Key.rfind(this->Contents.EvacuationPrefix, 0) == 0)
-    this->Evacuations.insert(Item.Key);
+           Item.Key.rfind(this->Layout.EvacuationPrefix, 0) == 0)
+    this->EvacuationKeys.insert(Item.Key);
 }
 
 // An item that cannot be read names no upstream: whatever stood there before is
@@ -359,39 +363,40 @@
 // earlier process still has under way to the store may be written after that,
 // and would bring a drain mark back that is over: callers would find an
 // upstream left out that serves.
-void StoreReader::putInstance(const StoredItem &Item, TimePoint Now) {
-  Result<Instance> Read = this->Contents.ReadInstance(Item);
+void StoreReader::applyInstance(const StoredItem &Item, TimePoint Now) {
+  Result<Instance> Read = this->Layout.ReadInstance(Item);
   if (!Read) {
     this->Instances.erase(Item.Key);
     return this->Hook.Unreadable(Read.error(), Now);
   }
   if (Read->Incarnation != 0) {
-    uint64_t &Latest = this->LatestStart[Item.Key];
+    uint64_t &Latest = this->LatestIncarnation[Item.Key];
     if (Read->Incarnation < Latest)
       return;
     Latest = Read->Incarnation;
-    if (this->LatestStart.size() > this->Opts.MaxRemembered)
-      std::erase_if(this->LatestStart, [this](const auto &One) {
+    if (this->LatestIncarnation.size() > this->Opts.MaxRememberedStarts)
+      std::erase_if(this->LatestIncarnation, [this](const auto &One) {
         return !this->Instances.count(One.first);
       });
   }
-  Listed New{*Read, Item.Created, Read->ColdLeft};
-  this->tellColdSpell(New, Item.Key);
+  ListedInstance New{*Read, Item.CreatedRevision, Read->ColdLeft};
+  this->updateColdSpell(New, Item.Key);
   this->Instances[Item.Key] = std::move(New);
 }
 
 // Whoever starts is cold, as everybody knows, and to count its time down would
 // change the lists of the whole fleet at each heartbeat of each upstream. So
 // the lists say only that one which had started is cold again.
-void StoreReader::tellColdSpell(Listed &New, const std::string &Key) const {
+void StoreReader::updateColdSpell(ListedInstance &New,
+                                  const std::string &Key) const {
   auto Old = this->Instances.find(Key);
-  bool Known =
-      Old != this->Instances.end() && Old->second.Who.sameStart(New.Who);
-  bool Begins = Known && New.ColdLeft > Old->second.ColdLeft;
-  bool GoesOn = Known && New.ColdLeft.count() > 0;
-  New.Who.ColdLeft = Begins   ? New.ColdLeft
-                     : GoesOn ? Old->second.Who.ColdLeft
-                              : Millis(0);
+  bool Known = Old != this->Instances.end() &&
+               Old->second.Details.sameStart(New.Details);
+  bool Begins = Known && New.StoredColdLeft > Old->second.StoredColdLeft;
+  bool GoesOn = Known && New.StoredColdLeft.count() > 0;
+  New.Details.ColdLeft = Begins   ? New.StoredColdLeft
+                         : GoesOn ? Old->second.Details.ColdLeft
+                                  : Millis(0);
 }
 
 } // namespace hickorylift
--- a/src/reading/StoreReaderTest.cpp
+++ b/src/reading/StoreReaderTest.cpp
@@ -19,13 +19,13 @@
 class FakeStore : public KeyValueStore {
 public:
   void range(const std::string &Prefix, const std::string &After, TimePoint,
-             GotPage Done) override {
+             PageCallback Done) override {
     this->Asked.push_back("all of " + Prefix);
     this->RangeAfter = After;
     this->Pages.push_back(std::move(Done));
   }
   void watch(const std::string &Prefix, uint64_t After, Millis Wait, TimePoint,
-             GotChanges Done) override {
+             ChangesCallback Done) override {
     this->Asked.push_back("changes of " + Prefix);
     this->WatchWaits[Prefix] = Wait;
     this->WatchAfter = After;
@@ -34,13 +34,13 @@
 
   void page(const Result<ItemPage> &Of, TimePoint Now) {
     BOOST_REQUIRE(!this->Pages.empty());
-    GotPage Done = std::move(this->Pages.front());
+    PageCallback Done = std::move(this->Pages.front());
     this->Pages.pop_front();
     Done(Of, Now);
   }
   void changes(const Result<ItemChanges> &Of, TimePoint Now) {
     BOOST_REQUIRE(!this->Watches.empty());
-    GotChanges Done = std::move(this->Watches.front());
+    ChangesCallback Done = std::move(this->Watches.front());
     this->Watches.pop_front();
     Done(Of, Now);
   }
@@ -50,15 +50,16 @@
   uint64_t WatchAfter = 0;
   /// Wait of the most recent watch for each prefix.
   std::map<std::string, Millis> WatchWaits;
-  std::deque<GotPage> Pages;
-  std::deque<GotChanges> Watches;
+  std::deque<PageCallback> Pages;
+  std::deque<ChangesCallback> Watches;
 };
 
 /// A list of the north as a neighbour tells it, of live instances.
 DocumentPtr toldList(const std::vector<std::string> &Names, uint64_t Revision) {
   EntryMap Entries;
   for (const std::string &Name : Names) {
-    Result<Instance> One = contents().ReadInstance(instance(Name, Revision));
+    Result<Instance> One =
+        testLayout().ReadInstance(storedInstance(Name, Revision));
     Entries[Name] = makeEntry(Name, writeInstance(*One));
   }
   return Document::make(Revision, Revision, std::move(Entries));
@@ -82,12 +83,12 @@
     Hooks.Publish = [this](const std::string &Topic, const DocumentPtr &Doc,
                            TimePoint) { this->Seen[Topic] = Doc; };
     Hooks.Confirm = [](const std::string &, uint64_t, uint64_t, TimePoint) {};
-    Hooks.Held = [this](const std::string &Topic) {
+    Hooks.CurrentDocument = [this](const std::string &Topic) {
       auto Found = this->Seen.find(Topic);
       return Found == this->Seen.end() ? nullptr : Found->second;
     };
-    Hooks.CompleteAt = [this] { return this->CompleteAt; };
-    Hooks.Complete = [this](uint64_t Revision) {
+    Hooks.CompleteRevision = [this] { return this->CompleteAt; };
+    Hooks.ReportComplete = [this](uint64_t Revision) {
       this->ToldComplete = Revision;
     };
     Hooks.Failed = [this](const Error &Why, TimePoint) {
@@ -106,7 +107,7 @@
     StoreReader::Options Opts;
     Opts.StartJitter = Millis(0);
     this->Read = std::make_unique<StoreReader>(
-        Opts, this->Store, contents(), this->hooks(),
+        Opts, this->Store, testLayout(), this->hooks(),
         std::vector<std::string>{"north", "south"}, 7);
     this->step(Millis(0));
   }
@@ -134,7 +135,7 @@
       StoredItem New{"i/" + Name, Value, this->Revision, 1};
       ItemChange Change{New.Key, this->Revision, New};
       if (Value.empty())
-        Change.Now.reset();
+        Change.Item.reset();
       this->untilAsked();
       this->Store.changes(ItemChanges{{Change}, this->Revision}, this->Now);
     }
@@ -145,7 +146,7 @@
     StoredItem New{"c-e/" + DataCentre, "{}", this->Revision, this->Revision};
     ItemChange Change{New.Key, this->Revision, New};
     if (!Begins)
-      Change.Now.reset();
+      Change.Item.reset();
     this->untilAsked();
     this->Store.changes(ItemChanges{{Change}, this->Revision}, this->Now);
   }
@@ -177,7 +178,7 @@
     StoreReader::Options Opts;
     Opts.StartJitter = Millis(0);
     this->Read = std::make_unique<StoreReader>(
-        Opts, this->Store, contents(), this->hooks(),
+        Opts, this->Store, testLayout(), this->hooks(),
         std::vector<std::string>{"north", "south"}, 7);
     this->step(Millis(0));
   }
@@ -191,9 +192,9 @@
 BOOST_AUTO_TEST_SUITE(StoreReading)
 
 BOOST_FIXTURE_TEST_CASE(PagesThenWatchFromTheFirst, Fixture) {
-  this->Store.page(ItemPage{{instance("x", 3)}, true, 10}, this->Now);
+  this->Store.page(ItemPage{{storedInstance("x", 3)}, true, 10}, this->Now);
   BOOST_TEST(this->Store.RangeAfter == "i/x");
-  this->Store.page(ItemPage{{instance("y", 11)}, false, 12}, this->Now);
+  this->Store.page(ItemPage{{storedInstance("y", 11)}, false, 12}, this->Now);
   BOOST_TEST(this->listed() == 2u);
   // What changed between the two pages must come again.
   BOOST_TEST(this->Store.WatchAfter == 10u);
@@ -221,16 +222,16 @@
 // An upstream drains, a watch is dropped together with its history, and the
 // upstream leaves in between. Nobody tells of it; only reading all again does.
 BOOST_FIXTURE_TEST_CASE(LostHistoryIsReadAgain, Fixture) {
-  this->startWith({instance("x", 1), instance("y", 2)}, 2);
+  this->startWith({storedInstance("x", 1), storedInstance("y", 2)}, 2);
   this->Store.changes(historyGone(), this->Now);
   this->untilAsked();
-  this->startWith({instance("x", 1)}, 9);
+  this->startWith({storedInstance("x", 1)}, 9);
   BOOST_TEST(this->listed() == 1u);
 }
 
 // Guards against missing a restore, or reporting one on the first era seen.
 BOOST_FIXTURE_TEST_CASE(AnotherEraIsReportedOnce, Fixture) {
-  ItemPage First{{instance("x", 1)}, false, 2, 5};
+  ItemPage First{{storedInstance("x", 1)}, false, 2, 5};
   this->Store.page(First, this->Now);
   BOOST_TEST(this->ReportedEras.empty());
   this->Store.changes(ItemChanges{{}, 2, 6}, this->Now);
@@ -255,7 +256,7 @@
 // cannot renew them, and are back soon after its return. Callers must not find
 // the fleet empty in between, nor one that is really gone kept for ever.
 BOOST_FIXTURE_TEST_CASE(LapsedEntriesAreWaitedFor, Fixture) {
-  this->startWith({instance("x", 1), instance("y", 2)}, 2);
+  this->startWith({storedInstance("x", 1), storedInstance("y", 2)}, 2);
   this->Store.changes(unreachable(), this->Now);
   this->untilAsked();
   this->Store.changes(
@@ -263,7 +264,7 @@
       this->Now);
   BOOST_TEST(this->listed() == 2u);
   this->untilAsked();
-  this->Store.changes(ItemChanges{{{"i/x", 7, instance("x", 7)}}, 7},
+  this->Store.changes(ItemChanges{{{"i/x", 7, storedInstance("x", 7)}}, 7},
                       this->Now);
   BOOST_TEST(this->listed() == 2u);
   this->step(Millis(2300));
@@ -280,7 +281,7 @@
     Told[Name] = makeEntry(Name, "as a neighbour told it");
   this->Seen["instances/north"] = Document::make(4, 4, std::move(Told));
   this->untilAsked();
-  this->startWith({instance("x", 7)}, 7);
+  this->startWith({storedInstance("x", 7)}, 7);
   BOOST_TEST(this->listed() == 2u);
   this->step(Millis(2300));
   BOOST_TEST(this->listed() == 1u);
@@ -290,10 +291,10 @@
 // of the upstream must not wait behind the configuration.
 BOOST_FIXTURE_TEST_CASE(LargeConfigurationsHaveAWatchOfTheirOwn, Fixture) {
   SplitReader::Options Opts;
-  Opts.Read.StartJitter = Millis(0);
-  Opts.SplitFrom = 1000;
+  Opts.ReaderOptions.StartJitter = Millis(0);
+  Opts.SplitThresholdBytes = 1000;
   FakeStore Other;
-  SplitReader Both(Opts, Other, contents(), this->hooks(), {"north"}, 7);
+  SplitReader Both(Opts, Other, testLayout(), this->hooks(), {"north"}, 7);
   Both.tick(this->Now, ReadDuty::Watch);
   BOOST_TEST(Other.Asked == std::vector<std::string>{"all of "});
   EntryMap Large;
@@ -305,7 +306,7 @@
              (std::vector<std::string>{"all of c", "all of i/"}));
   Other.Pages.pop_front(); // the first one's answer comes too late
   Other.page(ItemPage{{{"c", "2", 2, 1}}, false, 2}, this->Now);
-  Other.page(ItemPage{{instance("x", 2)}, false, 2}, this->Now);
+  Other.page(ItemPage{{storedInstance("x", 2)}, false, 2}, this->Now);
   BOOST_TEST(this->Seen.at(ConfigTopic)->stamp().Version == 2u);
   BOOST_TEST(this->listed() == 1u);
   Other.Watches.pop_front(); // the configuration is still on its way
@@ -322,21 +323,22 @@
 BOOST_FIXTURE_TEST_CASE(LargeConfigurationsKeepTheirWaitAfterAFailure,
                         Fixture) {
   SplitReader::Options Opts;
-  Opts.Read.StartJitter = Millis(0);
-  Opts.SplitFrom = 0;
+  Opts.ReaderOptions.StartJitter = Millis(0);
+  Opts.SplitThresholdBytes = 0;
   this->Seen[ConfigTopic] = Document::make(1, 1, {});
   FakeStore Other;
-  SplitReader Both(Opts, Other, contents(), this->hooks(), {"north"}, 7);
+  SplitReader Both(Opts, Other, testLayout(), this->hooks(), {"north"}, 7);
   Both.tick(this->Now, ReadDuty::Watch);
   Other.page(ItemPage{{{"c", "2", 2, 1}}, false, 2}, this->Now);
-  Other.page(ItemPage{{instance("x", 2)}, false, 2}, this->Now);
+  Other.page(ItemPage{{storedInstance("x", 2)}, false, 2}, this->Now);
   Other.changes(unreachable(), this->Now);
   Other.changes(unreachable(), this->Now);
   for (int I = 0; I < 200; ++I, this->Now += Millis(10))
     Both.tick(this->Now, ReadDuty::Watch);
   BOOST_TEST(Other.Watches.size() == 2u);
-  BOOST_TEST((Other.WatchWaits.at("c") == Opts.Read.WatchWait));
-  BOOST_TEST((Other.WatchWaits.at("i/") == Opts.Read.WatchWaitAfterFailure));
+  BOOST_TEST((Other.WatchWaits.at("c") == Opts.ReaderOptions.WatchWait));
+  BOOST_TEST(
+      (Other.WatchWaits.at("i/") == Opts.ReaderOptions.WatchWaitAfterFailure));
 }
 
 using Names = std::set<std::string>;
@@ -382,21 +384,21 @@
 // watch of its own.
 BOOST_FIXTURE_TEST_CASE(EvacuationsComeWithALargeConfiguration, Fixture) {
   SplitReader::Options Opts;
-  Opts.Read.StartJitter = Millis(0);
-  Opts.SplitFrom = 0;
+  Opts.ReaderOptions.StartJitter = Millis(0);
+  Opts.SplitThresholdBytes = 0;
   this->Seen[ConfigTopic] = Document::make(1, 1, {});
   FakeStore Other;
-  SplitReader Both(Opts, Other, contents(), this->hooks(), {"north"}, 7);
+  SplitReader Both(Opts, Other, testLayout(), this->hooks(), {"north"}, 7);
   Both.tick(this->Now, ReadDuty::Watch);
   Other.page(ItemPage{{{"c", "2", 2, 1}, {"c-e/south", "{}", 2, 2}}, false, 2},
              this->Now);
-  Other.page(ItemPage{{instance("x", 2)}, false, 2}, this->Now);
+  Other.page(ItemPage{{storedInstance("x", 2)}, false, 2}, this->Now);
   BOOST_TEST(this->evacuated() == Names{"south"});
 }
 
 // An address is given out again before the old entry has lapsed.
 BOOST_FIXTURE_TEST_CASE(TheLaterOfTwoEntriesCounts, Fixture) {
-  this->startWith({instance("x+old", 1), instance("x+new", 5)}, 5);
+  this->startWith({storedInstance("x+old", 1), storedInstance("x+new", 5)}, 5);
   BOOST_TEST(this->listed() == 1u);
   const DocumentPtr &List = this->Seen.at("instances/north");
   BOOST_TEST(List->entries().at("x").Bytes->find("x+new") != std::string::npos);
@@ -432,7 +434,7 @@
 // the drain mark of the old one is not theirs.
 BOOST_DATA_TEST_CASE_F(Fixture, TheLatestStartCounts,
                        boost::unit_test::data::make(StartsOfOne), Row) {
-  this->startWith({instance("x", 1)}, 1);
+  this->startWith({storedInstance("x", 1)}, 1);
   this->write("x", Row.Written);
   std::string Entry = this->entryOf("x");
   BOOST_TEST((Row.State == std::string("none")) == (Entry == "none"));
@@ -484,7 +486,7 @@
 // Someone writes rubbish over the entry of an upstream and beside it. Callers
 // are not sent there, and go on to all the others.
 BOOST_FIXTURE_TEST_CASE(RubbishNamesNobodyAndTheOthersHold, Fixture) {
-  this->startWith({instance("x", 1), instance("y", 2)}, 2);
+  this->startWith({storedInstance("x", 1), storedInstance("y", 2)}, 2);
   this->write("x", {"rubbish"});
   this->write("z", {"rubbish"});
   BOOST_TEST(this->entryOf("x") == "none");
@@ -537,7 +539,8 @@
   At.CompleteAt = Row.CompleteAt;
   StoreReader::Options Opts;
   Opts.StartJitter = Millis(0);
-  StoreReader Read(Opts, Other, contents(), At.hooks(), {"north", "south"}, 7);
+  StoreReader Read(Opts, Other, testLayout(), At.hooks(), {"north", "south"},
+                   7);
   Read.tick(At.Now, ReadDuty::Watch);
   BOOST_TEST(Other.Asked == std::vector<std::string>{Row.Asked});
   BOOST_TEST(Other.WatchAfter ==
@@ -550,7 +553,7 @@
 BOOST_FIXTURE_TEST_CASE(WhatOthersToldIsGoneOnFrom, ToldFixture) {
   StoredItem Leaves{"i/y", "leaving", 43, 2};
   this->Store.changes(ItemChanges{{{"i/x", 41, std::nullopt},
-                                   {"i/z", 42, instance("z", 42)},
+                                   {"i/z", 42, storedInstance("z", 42)},
                                    {"i/y", 43, Leaves}},
                                   43},
                       this->Now);
@@ -568,14 +571,14 @@
   this->Read->tick(this->Now, ReadDuty::Watch);
   BOOST_TEST(this->Store.Asked ==
              (std::vector<std::string>{"changes of ", "all of "}));
-  this->Store.page(ItemPage{{instance("y", 2)}, false, 90}, this->Now);
+  this->Store.page(ItemPage{{storedInstance("y", 2)}, false, 90}, this->Now);
   BOOST_TEST(this->listed() == 1u);
 }
 
 // Lists that are held back after an outage say less than the store does, and
 // nobody may go on from there.
 BOOST_FIXTURE_TEST_CASE(HeldBackListsAreNotComplete, Fixture) {
-  this->startWith({instance("x", 1), instance("y", 2)}, 2);
+  this->startWith({storedInstance("x", 1), storedInstance("y", 2)}, 2);
   BOOST_TEST(this->ToldComplete == 2u);
   this->Store.changes(unreachable(), this->Now);
   this->untilAsked();
--- a/src/reading/StoreRestoreTest.cpp
+++ b/src/reading/StoreRestoreTest.cpp
@@ -27,7 +27,7 @@
     Opts.StartJitter = Millis(0);
     Opts.WatchWait = Millis(2500);
     this->Read = std::make_unique<StoreReader>(
-        Opts, Store, contents(), this->sourceHooks(),
+        Opts, Store, testLayout(), this->sourceHooks(),
         std::vector<std::string>{"north"}, 7);
   }
 
@@ -41,14 +41,14 @@
                          uint64_t Revision, TimePoint AskedAt) {
       this->Spread.confirm(Topic, Version, Revision, AskedAt);
     };
-    Out.Held = [this](const std::string &Topic) {
+    Out.CurrentDocument = [this](const std::string &Topic) {
       return this->Spread.held(Topic);
     };
-    Out.Complete = [this](uint64_t At) { this->Spread.complete(At); };
-    Out.CompleteAt = [this] { return this->Spread.completeAt(); };
+    Out.ReportComplete = [this](uint64_t At) { this->Spread.complete(At); };
+    Out.CompleteRevision = [this] { return this->Spread.completeAt(); };
     Out.Failed = [](const Error &, TimePoint) {};
-    Out.MetEra = [this](uint64_t Era) { this->Spread.meetEra(Era); };
-    Out.FirstEra = [this] { return this->Spread.firstEra(); };
+    Out.EraObserved = [this](uint64_t Era) { this->Spread.meetEra(Era); };
+    Out.EarliestEra = [this] { return this->Spread.firstEra(); };
     Out.Restored = [this](uint64_t, uint64_t, TimePoint) { ++this->Restores; };
     return Out;
   }
@@ -149,7 +149,7 @@
   /// ones change the lists and evacuations, so that these are published near
   /// the highest revision.
   void loseWrites(unsigned Writes) {
-    this->Store.copy();
+    this->Store.saveCopy();
     this->advanceRevision(Writes);
     this->Store.put("i/w", "live");
     this->Store.put("c-e/west", "{}");
@@ -186,7 +186,7 @@
 // Guards against ignoring a new version because of a reused revision.
 BOOST_DATA_TEST_CASE(NewVersionsAreTaken, data::make(RestoreCases), Row) {
   Restores At;
-  At.Store.copy();
+  At.Store.saveCopy();
   At.advanceRevision(Row.LostWrites);
   At.Store.put("c", "2");
   At.run(Millis(1000));
@@ -200,7 +200,7 @@
 
 // Guards against replacing the version in force by an older one from the copy.
 BOOST_FIXTURE_TEST_CASE(OlderVersionsAreNotTaken, Restores) {
-  this->Store.copy();
+  this->Store.saveCopy();
   this->Store.put("c", "2");
   this->run(Millis(1000));
   this->Store.restore();
@@ -302,7 +302,7 @@
   this->start(1);
   this->node(1).Duty = ReadDuty::None;
   this->link();
-  this->Store.copy();
+  this->Store.saveCopy();
   this->advanceRevision(5);
   this->run(Millis(5000));
   this->cut();
@@ -331,10 +331,10 @@
 // configuration watch, which then waits for its full timeout.
 BOOST_FIXTURE_TEST_CASE(ConfigReaderLearnsEraFromListReader, Restores) {
   SplitReader::Options Opts;
-  Opts.Read.StartJitter = Millis(0);
-  Opts.SplitFrom = 0;
-  SplitReader Reader(Opts, this->Store, contents(), this->node().sourceHooks(),
-                     {"north"}, 7);
+  Opts.ReaderOptions.StartJitter = Millis(0);
+  Opts.SplitThresholdBytes = 0;
+  SplitReader Reader(Opts, this->Store, testLayout(),
+                     this->node().sourceHooks(), {"north"}, 7);
   this->node().Duty = ReadDuty::None;
   auto Run = [&](Millis Length) {
     for (TimePoint End = this->Now + Length; this->Now < End;
@@ -344,7 +344,7 @@
     }
   };
   Run(Millis(1000));
-  this->Store.copy();
+  this->Store.saveCopy();
   this->Store.put("c", "2");
   Run(Millis(100));
   // Answers the configuration watch; the next one has not been sent yet.
@@ -377,7 +377,7 @@
   this->Store.Era.reset();
   this->start(0);
   this->run(Millis(1000));
-  this->Store.copy();
+  this->Store.saveCopy();
   this->advanceRevision(40);
   this->Store.put("c", "2");
   this->run(Millis(1000));
@@ -439,7 +439,7 @@
 // Guards against dropping a live upstream that was added after the copy was
 // made.
 BOOST_FIXTURE_TEST_CASE(MissingInstancesAreWaitedFor, Restores) {
-  this->Store.copy();
+  this->Store.saveCopy();
   this->Store.put("i/w", "live");
   this->Store.put("i/z", "live");
   this->run(Millis(1000));
@@ -454,7 +454,7 @@
 
 // Guards against calls to an upstream whose drain is missing from the copy.
 BOOST_FIXTURE_TEST_CASE(LostDrainsHoldForAWhile, Restores) {
-  this->Store.copy();
+  this->Store.saveCopy();
   this->Store.put("i/x", "leaving");
   this->Store.put("i/y", "leaving");
   this->run(Millis(1000));
@@ -471,7 +471,7 @@
 // Guards against calls to a data centre whose evacuation is missing from the
 // copy.
 BOOST_FIXTURE_TEST_CASE(LostEvacuationsHoldForAWhile, Restores) {
-  this->Store.copy();
+  this->Store.saveCopy();
   this->Store.put("c-e/south", "{}");
   this->Store.put("c-e/west", "{}");
   this->run(Millis(1000));
@@ -487,7 +487,7 @@
 
 // Guards against delaying a drain because another instance is missing.
 BOOST_FIXTURE_TEST_CASE(NewsIsNotHeldBackByWhatIsMissing, Restores) {
-  this->Store.copy();
+  this->Store.saveCopy();
   this->Store.put("i/z", "live");
   this->run(Millis(1000));
   this->Store.restore();
--- a/src/settings/Settings.cpp
+++ b/src/settings/Settings.cpp
@@ -122,7 +122,7 @@
     std::optional<JsonObject> Platform = Top.object("platform", true);
     if (!Platform)
       return;
-    Reader::Options &Read = this->Out.Core.Control.Read;
+    PlatformReader::Options &Read = this->Out.Core.Control.Read;
     this->Out.Platform.Address = this->address(*Platform, "address").text();
     this->Out.Platform.Timeout =
         Platform->millis("timeout_ms", 3000, 10, 60000);
@@ -139,20 +139,21 @@
   }
 
   void readStore(JsonObject &Platform) {
-    StoreReader::Options &To = this->Out.Store.Read;
-    this->Out.Store.SplitFrom = static_cast<size_t>(Platform.integer(
-        "split_from_bytes", static_cast<int64_t>(this->Out.Store.SplitFrom), 0,
-        1 << 30));
+    StoreReader::Options &To = this->Out.Store.ReaderOptions;
+    this->Out.Store.SplitThresholdBytes = static_cast<size_t>(Platform.integer(
+        "split_from_bytes",
+        static_cast<int64_t>(this->Out.Store.SplitThresholdBytes), 0, 1 << 30));
     this->Out.Protocol = PlatformProtocol::Store;
     To.WatchWait = this->Out.Core.Control.Read.WatchWait;
     To.StartJitter = this->Out.Core.Control.Read.StartJitter;
     To.ReadsPerSecond = this->Out.Core.Control.Read.ReadsPerSecond;
     To.ReadBurst = this->Out.Core.Control.Read.ReadBurst;
-    To.WatchGap =
-        Platform.millis("watch_gap_ms", To.WatchGap.count(), 0, 60000);
-    To.SpareGap =
-        Platform.millis("spare_gap_ms", To.SpareGap.count(), 0, 60000);
-    To.SettleFor = Platform.millis("settle_ms", To.SettleFor.count(), 0, MaxMs);
+    To.WatchInterval =
+        Platform.millis("watch_gap_ms", To.WatchInterval.count(), 0, 60000);
+    To.SpareWatchInterval = Platform.millis(
+        "spare_gap_ms", To.SpareWatchInterval.count(), 0, 60000);
+    To.MissingEntryGrace =
+        Platform.millis("settle_ms", To.MissingEntryGrace.count(), 0, MaxMs);
   }
 
   void readSeeds(JsonObject &Top) {
