--- a/harness/Fleet.h
+++ b/harness/Fleet.h
@@ -3,7 +3,7 @@
 
 #include "base/Error.h"
 #include "base/Time.h"
-#include "reading/Reader.h"
+#include "reading/PlatformReader.h"
 
 #include <gio/gio.h>
 #include <json/value.h>
--- a/harness/PlatformWriter.h
+++ b/harness/PlatformWriter.h
@@ -2,7 +2,7 @@
 #define HICKORYLIFT_HARNESS_PLATFORMWRITER_H
 
 #include "config/Document.h"
-#include "reading/Reader.h"
+#include "reading/PlatformReader.h"
 
 #include <string>
 
--- a/scenario/World.cpp
+++ b/scenario/World.cpp
@@ -2,7 +2,7 @@
 
 #include "base/Hash.h"
 #include "config/RecordFile.h"
-#include "reading/Reader.h"
+#include "reading/PlatformReader.h"
 
 #include <algorithm>
 #include <sstream>
--- a/src/control/ControlPlane.h
+++ b/src/control/ControlPlane.h
@@ -6,7 +6,7 @@
 #include "control/ReadPlan.h"
 #include "membership/Membership.h"
 #include "quarantine/Quarantine.h"
-#include "reading/Reader.h"
+#include "reading/PlatformReader.h"
 #include "spread/FleetView.h"
 #include "spread/Spreader.h"
 
--- a/src/reading/Reader.cpp
+++ b/src/reading/PlatformReader.cpp
@@ -1,4 +1,4 @@
-#include "reading/Reader.h"
+#include "reading/PlatformReader.h"
 
 #include "base/Hash.h"
 #include "membership/Evacuations.h"
