--- a/src/reading/DocumentSource.h
+++ b/src/reading/DocumentSource.h
@@ -10,50 +10,56 @@
 #include <optional>
 #include <string>
 
-// A DocumentSource brings documents from the platform to one node, for as long
-// as the node has the duty to. Reader reads a platform that holds records by
-// their hash; StoreReader one that holds items in a keyspace.
+// A DocumentSource reads documents (the configuration, the instance lists and
+// the evacuations) from the platform and publishes them to its node, as long as
+// the node has a read duty. PlatformReader reads a platform that stores records
+// under their hashes; StoreReader reads one that stores items in a key-value
+// store.
 //
-//   std::unique_ptr<DocumentSource> From = Make(Hooks);
-//   From->tick(Now, ReadDuty::Watch);        // a few times a second
+//   std::unique_ptr<DocumentSource> Source = Factory(Hooks);
+//   Source->tick(Now, ReadDuty::Watch);      // a few times a second
 
 namespace hickorylift {
 
-/// The topic under which versions are published.
+/// The topic under which configuration versions are published.
 extern const char ConfigTopic[];
 
+/// What a node currently has to read from the platform.
 enum class ReadDuty {
-  /// Others read.
+  /// Nothing: the node receives its documents from other nodes.
   None,
-  /// Read the own data centre's list once, to find neighbours.
+  /// Read the local data centre's list once, to find neighbours.
   List,
-  /// The same at once: others wait for it.
+  /// The same without a random delay, because other nodes wait for the list.
   ListForOthers,
-  /// Read everything once: no neighbour has anything.
+  /// Read everything once, because no neighbour has any document.
   Once,
-  /// Keep watching beside another who does, and who tells this node sooner.
+  /// Watch for changes as a spare: another node watches too and normally
+  /// delivers them sooner.
   Spare,
-  /// Keep watching.
+  /// Watch for changes.
   Watch,
 };
 
-/// What a source tells its node.
+/// Callbacks through which a source exchanges data with its node.
 struct SourceHooks {
   std::function<void(const std::string &Topic, DocumentPtr, TimePoint)> Publish;
-  /// Asked at AskedAt, the platform still named this version and revision.
+  /// In an answer to a request sent at AskedAt, the platform still named this
+  /// version and revision as the current one.
   std::function<void(const std::string &Topic, uint64_t Version,
                      uint64_t Revision, TimePoint AskedAt)>
       Confirm;
-  /// What this node holds already, so that only the rest is read.
+  /// Returns the document that the node has for a topic, or null. The source
+  /// reads only what is missing from it.
   std::function<DocumentPtr(const std::string &Topic)> CurrentDocument;
   std::function<void(const Error &, TimePoint)> Failed;
-  /// The platform answers, but one item says nothing that can be used.
+  /// The platform answers, but one item can't be parsed.
   std::function<void(const Error &, TimePoint)> Unreadable = [](const Error &,
                                                                 TimePoint) {};
-  /// All that the platform said up to this revision was published.
+  /// Everything that the platform holds up to this revision was published.
   std::function<void(uint64_t Revision)> ReportComplete = [](uint64_t) {};
-  /// Up to which revision nothing is missing from what this node holds, whoever
-  /// told it; 0 where that is not known.
+  /// The revision up to which the node's documents are complete, whichever node
+  /// or platform they came from; 0 if that is not known.
   std::function<uint64_t()> CompleteRevision = [] { return uint64_t(0); };
   /// Reports the era of an answer from the platform.
   std::function<void(uint64_t Era)> EraObserved = [](uint64_t) {};
@@ -63,7 +69,7 @@
   };
   /// The platform's era changed, which means that it was restored from an older
   /// copy. May be called once per reader for the same restore.
-  std::function<void(uint64_t From, uint64_t To, TimePoint)> Restored =
+  std::function<void(uint64_t OldEra, uint64_t NewEra, TimePoint)> Restored =
       [](uint64_t, uint64_t, TimePoint) {};
   /// The platform answers again after failures.
   std::function<void(TimePoint)> Recovered = [](TimePoint) {};
@@ -72,12 +78,13 @@
 class DocumentSource {
 public:
   virtual ~DocumentSource() = default;
-  virtual void tick(TimePoint Now, ReadDuty Wanted) = 0;
-  /// Calls made to the platform so far.
+  /// Starts the next request to the platform if the duty calls for one.
+  virtual void tick(TimePoint Now, ReadDuty Duty) = 0;
+  /// Number of requests sent to the platform so far.
   virtual uint64_t reads() const = 0;
 };
 
-/// Makes the source of one node.
+/// Creates the source of one node.
 using SourceFactory =
     std::function<std::unique_ptr<DocumentSource>(SourceHooks)>;
 
--- a/src/reading/KeyValueStore.h
+++ b/src/reading/KeyValueStore.h
@@ -11,25 +11,26 @@
 #include <string>
 #include <vector>
 
-// A KeyValueStore is a keyspace that we may read and watch: one counter of
-// revisions for all keys, pages that are not a snapshot, and a history that is
-// dropped after a while. A store that is restored from an older copy starts a
-// new era, in which revision numbers are reused. An adapter makes the calls;
-// StoreReader decides when.
+// A KeyValueStore gives read and watch access to a key-value store with these
+// properties: one revision counter covers all keys, the pages of a range read
+// are not a snapshot, and the change history is dropped after a while. A store
+// that is restored from an older copy starts a new era, in which revision
+// numbers are reused. A subclass only makes the calls; StoreReader decides when
+// to make them.
 
 namespace hickorylift {
 
 struct StoredItem {
   std::string Key;
   std::string Value;
-  /// Of its last change, and of its creation.
+  /// Revision of the last change.
   uint64_t Revision = 0;
   uint64_t CreatedRevision = 0;
 };
 
 struct ItemPage {
   std::vector<StoredItem> Items;
-  /// Whether more follow after the last key.
+  /// Whether more items follow after the last key.
   bool HasMore = false;
   /// The store's revision when it answered.
   uint64_t Revision = 0;
@@ -40,13 +41,13 @@
 struct ItemChange {
   std::string Key;
   uint64_t Revision = 0;
-  /// Nothing where the item was removed.
+  /// The new item; nothing if it was removed.
   std::optional<StoredItem> Item;
 };
 
 struct ItemChanges {
   std::vector<ItemChange> Changes;
-  /// Where the next watch goes on.
+  /// The revision after which the next watch continues.
   uint64_t Revision = 0;
   /// The era of that revision, if the store reports one.
   std::optional<uint64_t> Era{};
@@ -59,36 +60,36 @@
 
   virtual ~KeyValueStore() = default;
 
-  /// Items whose keys begin with Prefix, from the one after After on. Done is
-  /// called once, never from within range.
+  /// Reads a page of the items whose keys begin with Prefix and sort after the
+  /// key After. Done is called once, never from within range.
   virtual void range(const std::string &Prefix, const std::string &After,
                      TimePoint Now, PageCallback Done) = 0;
-  /// Waits for changes after a revision, at most Wait. Errc::Stale where the
-  /// store no longer has the history from there on.
+  /// Waits at most Wait for changes after a revision. Fails with Errc::Stale if
+  /// the store no longer has the history after that revision.
   virtual void watch(const std::string &Prefix, uint64_t After, Millis Wait,
                      TimePoint Now, ChangesCallback Done) = 0;
 };
 
-/// A version of the configuration as an adapter has read it.
+/// A configuration version parsed from an item.
 struct ParsedConfig {
   uint64_t Version = 0;
   EntryMap Records;
 };
 
-/// What the items of a store mean.
+/// Where a store keeps its items, and how to parse them.
 struct StoreLayout {
-  /// Prefix of all keys that matter.
+  /// Prefix of all keys to read.
   std::string Prefix;
-  /// The item that holds the newest version, whole.
+  /// The item that holds the newest configuration version completely.
   std::string ConfigKey;
-  /// Each item under it is one instance.
+  /// Each item under this prefix is one instance.
   std::string InstancePrefix;
-  /// Each item under it stands for an evacuated data centre, whose name follows
-  /// it. Empty where the store has none.
+  /// Each item under this prefix marks a data centre as evacuated; the rest of
+  /// the key is the data centre's name. Empty if the store has no evacuations.
   std::string EvacuationPrefix;
   std::function<Result<ParsedConfig>(const StoredItem &)> ReadConfig;
   std::function<Result<Instance>(const StoredItem &)> ReadInstance;
-  /// The key of the item that an instance was read from.
+  /// Returns the key of the item that an instance was read from.
   std::function<std::string(const Instance &)> InstanceKey;
 };
 
--- a/src/reading/Platform.h
+++ b/src/reading/Platform.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-// Platform is the configuration service that we only read. Another service's
-// protocol is another subclass and nothing else; HttpPlatform.h speaks the
-// protocol of docs/PLATFORM.md.
+// Platform is the interface to the configuration service that we read from and
+// never write to. Support for another service's protocol needs only another
+// subclass; HttpPlatform.h implements the protocol of docs/PLATFORM.md.
 
 namespace hickorylift {
 
@@ -27,7 +27,7 @@
 struct PlatformChanges {
   /// The platform's revision when it answered.
   uint64_t Revision = 0;
-  /// Empty where nothing changed before the wait was over.
+  /// Empty if nothing changed before the wait was over.
   std::vector<PlatformChange> Changed;
 };
 
