--- a/src/reading/HttpPlatform.cpp
+++ b/src/reading/HttpPlatform.cpp
@@ -4,17 +4,21 @@
 
 #include <cstdlib>
 
+// Sends each call as one HTTP GET request. The revision of a value, or of the
+// platform, comes in a response header.
+
 namespace hickorylift {
 
 namespace {
 
-// Added to the wait of a watch before we call the platform silent.
+// How long after the end of a watch's wait the platform may still answer before
+// the request times out.
 constexpr Millis WatchSlack{2000};
 const char RevisionHeader[] = "x-revision";
 
-Result<std::pair<uint64_t, std::string>> judge(const Result<HttpReply> &Got,
-                                               const std::string &Step,
-                                               const std::string &Peer) {
+Result<std::pair<uint64_t, std::string>>
+parseReply(const Result<HttpReply> &Got, const std::string &Step,
+           const std::string &Peer) {
   if (!Got)
     return Got.error();
   if (Got->Status == 429)
@@ -24,11 +28,11 @@
   if (Got->Status != 200)
     return Error{Errc::Refused, Step, Peer,
                  "status " + std::to_string(Got->Status)};
-  auto Revision = Got->Headers.find(RevisionHeader);
-  uint64_t Number = Revision == Got->Headers.end()
-                        ? 0
-                        : std::strtoull(Revision->second.c_str(), nullptr, 10);
-  return std::make_pair(Number, Got->Body);
+  auto Header = Got->Headers.find(RevisionHeader);
+  uint64_t Revision = Header == Got->Headers.end()
+                          ? 0
+                          : std::strtoull(Header->second.c_str(), nullptr, 10);
+  return std::make_pair(Revision, Got->Body);
 }
 
 } // namespace
@@ -37,11 +41,11 @@
     : Opts(Opts), Http({Opts.Address, Opts.MaxValueBytes}, std::move(Now)) {}
 
 void HttpPlatform::send(const std::string &Path, const std::string &Step,
-                        Millis Limit, const ReplyCallback &Done) {
-  this->Http.fetch(Path, Step, Limit,
+                        Millis Timeout, const ReplyCallback &Done) {
+  this->Http.fetch(Path, Step, Timeout,
                    [Done, Step, Peer = this->Opts.Address](
                        const Result<HttpReply> &Got, TimePoint At) {
-                     Done(judge(Got, Step, Peer), At);
+                     Done(parseReply(Got, Step, Peer), At);
                    });
 }
 
@@ -72,14 +76,14 @@
         auto Root = parseJson(Got->second, "watch", Faults);
         if (!Root || !Root->isObject() || !(*Root)["keys"].isObject())
           return Done(Error{Errc::BadMessage, "platform-watch", Peer,
-                            "not a watch's answer"},
+                            "malformed watch response"},
                       At);
-        PlatformChanges Out;
-        Out.Revision = Got->first;
+        PlatformChanges Changes;
+        Changes.Revision = Got->first;
         for (const std::string &Key : (*Root)["keys"].getMemberNames())
           if ((*Root)["keys"][Key].isUInt64())
-            Out.Changed.push_back({Key, (*Root)["keys"][Key].asUInt64()});
-        Done(Out, At);
+            Changes.Changed.push_back({Key, (*Root)["keys"][Key].asUInt64()});
+        Done(Changes, At);
       });
 }
 
--- a/src/reading/HttpPlatform.h
+++ b/src/reading/HttpPlatform.h
@@ -6,8 +6,8 @@
 
 namespace hickorylift {
 
-/// The platform over HTTP, as docs/PLATFORM.md gives it. At most one value of
-/// MaxValueBytes is held for each call under way.
+/// Client of the platform's HTTP protocol, described in docs/PLATFORM.md.
+/// Buffers at most MaxValueBytes for each request in progress.
 class HttpPlatform final : public Platform {
 public:
   struct Options {
@@ -17,7 +17,7 @@
     size_t MaxValueBytes = 1u << 20;
   };
 
-  /// Now gives the time at which an answer is handed on; the loop's clock.
+  /// Now returns the event loop's time, which is passed to the callbacks.
   HttpPlatform(const Options &Opts, std::function<TimePoint()> Now);
 
   void get(const std::string &Key, TimePoint Now, ValueCallback Done) override;
@@ -28,7 +28,7 @@
   using ReplyCallback =
       std::function<void(Result<std::pair<uint64_t, std::string>>, TimePoint)>;
 
-  void send(const std::string &Path, const std::string &Step, Millis Limit,
+  void send(const std::string &Path, const std::string &Step, Millis Timeout,
             const ReplyCallback &Done);
 
   Options Opts;
