--- a/src/reading/PlatformReader.cpp
+++ b/src/reading/PlatformReader.cpp
@@ -6,12 +6,13 @@
 
 #include <algorithm>
 
-// One thing at a time: read the lists, read the manifest and where need be the
-// contents that it names, read the records that are missing, then wait in one
-// watch for a change of any and start over with what changed. Contents name
-// records by the hash of their bytes, and each value lies under its hash, so a
-// read that crosses an update finds either the right bytes or none: never a
-// version made of two.
+// Runs these steps one after the other: read the lists, read the manifest and,
+// if necessary, the contents that it refers to, read the records that are
+// missing, then wait in a single watch until any of these keys changes, and
+// read what changed. Contents refer to records by the hash of their bytes, and
+// each record is stored under its hash. A read that overlaps with an update
+// therefore gets either the right bytes or an error, and never mixes two
+// versions.
 
 namespace hickorylift {
 
@@ -27,118 +28,118 @@
 
 namespace {
 
-RecordHashes readHashes(JsonObject &From) {
-  RecordHashes Out;
-  for (const std::string &Name : From.keys()) {
+RecordHashes readHashes(JsonObject &Object) {
+  RecordHashes Hashes;
+  for (const std::string &Name : Object.keys()) {
     std::optional<uint64_t> Hash =
-        parseHexHash(From.string(Name, std::nullopt));
+        parseHexHash(Object.string(Name, std::nullopt));
     if (!Hash)
-      From.fault(Name, "expected a hash of sixteen hex digits");
-    Out[Name] = Hash.value_or(0);
+      Object.fault(Name, "expected a hash of sixteen hex digits");
+    Hashes[Name] = Hash.value_or(0);
   }
-  return Out;
+  return Hashes;
 }
 
-uint64_t readHash(JsonObject &From, const std::string &Key,
+uint64_t readHash(JsonObject &Object, const std::string &Key,
                   const std::optional<std::string> &Default) {
-  std::string Text = From.string(Key, Default);
+  std::string Text = Object.string(Key, Default);
   std::optional<uint64_t> Hash = parseHexHash(Text);
-  if (From.has(Key) && !Hash)
-    From.fault(Key, "expected a hash of sixteen hex digits");
+  if (Object.has(Key) && !Hash)
+    Object.fault(Key, "expected a hash of sixteen hex digits");
   return Hash.value_or(0);
 }
 
-Json::Value hashesJson(const RecordHashes &Of) {
-  Json::Value Out(Json::objectValue);
-  for (const auto &[Name, Hash] : Of)
-    Out[Name] = hexHash(Hash);
-  return Out;
+Json::Value hashesJson(const RecordHashes &Hashes) {
+  Json::Value Object(Json::objectValue);
+  for (const auto &[Name, Hash] : Hashes)
+    Object[Name] = hexHash(Hash);
+  return Object;
 }
 
 } // namespace
 
-std::string writeContents(const RecordHashes &Of) {
-  return writeJson(hashesJson(Of));
+std::string writeContents(const RecordHashes &Hashes) {
+  return writeJson(hashesJson(Hashes));
 }
 
 std::optional<RecordHashes> readContents(const std::string &Text,
                                          FaultList &Faults) {
-  size_t Before = Faults.size();
+  size_t FaultsBefore = Faults.size();
   std::optional<Json::Value> Root = parseJson(Text, ContentsPrefix, Faults);
   if (!Root)
     return std::nullopt;
   JsonObject Top({ContentsPrefix, Text, &Faults}, *Root, "");
-  RecordHashes Out = readHashes(Top);
-  if (Faults.size() != Before)
+  RecordHashes Hashes = readHashes(Top);
+  if (Faults.size() != FaultsBefore)
     return std::nullopt;
-  return Out;
+  return Hashes;
 }
 
 Manifest makeManifest(uint64_t Version, const RecordHashes &Old,
                       const RecordHashes &New) {
-  Manifest Out;
-  Out.Version = Version;
-  Out.ContentsHash = contentHash(writeContents(New));
+  Manifest Result;
+  Result.Version = Version;
+  Result.ContentsHash = contentHash(writeContents(New));
   if (Old.empty())
-    return Out;
-  Out.BaseHash = contentHash(writeContents(Old));
+    return Result;
+  Result.BaseHash = contentHash(writeContents(Old));
   for (const auto &[Name, Hash] : New) {
     auto Found = Old.find(Name);
     if (Found == Old.end() || Found->second != Hash)
-      Out.Changed[Name] = Hash;
+      Result.Changed[Name] = Hash;
   }
   for (const auto &[Name, Hash] : Old)
     if (!New.count(Name))
-      Out.Removed.push_back(Name);
-  return Out;
+      Result.Removed.push_back(Name);
+  return Result;
 }
 
 std::optional<Manifest> readManifest(const std::string &Text,
                                      FaultList &Faults) {
-  size_t Before = Faults.size();
+  size_t FaultsBefore = Faults.size();
   std::optional<Json::Value> Root = parseJson(Text, ManifestKey, Faults);
   if (!Root)
     return std::nullopt;
   JsonObject Top({ManifestKey, Text, &Faults}, *Root, "");
-  Manifest Out;
-  Out.Version =
+  Manifest Result;
+  Result.Version =
       static_cast<uint64_t>(Top.integer("version", std::nullopt, 1, INT64_MAX));
-  Out.ContentsHash = readHash(Top, "contents", std::nullopt);
-  Out.BaseHash = readHash(Top, "since", "");
-  if (std::optional<JsonObject> Set = Top.object("set", false))
-    Out.Changed = readHashes(*Set);
-  Out.Removed = Top.strings("removed");
+  Result.ContentsHash = readHash(Top, "contents", std::nullopt);
+  Result.BaseHash = readHash(Top, "since", "");
+  if (std::optional<JsonObject> Changed = Top.object("set", false))
+    Result.Changed = readHashes(*Changed);
+  Result.Removed = Top.strings("removed");
   Top.finish();
-  if (Faults.size() != Before)
+  if (Faults.size() != FaultsBefore)
     return std::nullopt;
-  return Out;
+  return Result;
 }
 
-std::string writeManifest(const Manifest &Of) {
-  Json::Value Out(Json::objectValue);
-  Out["version"] = Json::UInt64(Of.Version);
-  Out["contents"] = hexHash(Of.ContentsHash);
-  if (Of.BaseHash == 0)
-    return writeJson(Out);
-  Out["since"] = hexHash(Of.BaseHash);
-  Out["set"] = hashesJson(Of.Changed);
-  for (const std::string &Name : Of.Removed)
-    Out["removed"].append(Name);
-  return writeJson(Out);
+std::string writeManifest(const Manifest &Value) {
+  Json::Value Root(Json::objectValue);
+  Root["version"] = Json::UInt64(Value.Version);
+  Root["contents"] = hexHash(Value.ContentsHash);
+  if (Value.BaseHash == 0)
+    return writeJson(Root);
+  Root["since"] = hexHash(Value.BaseHash);
+  Root["set"] = hashesJson(Value.Changed);
+  for (const std::string &Name : Value.Removed)
+    Root["removed"].append(Name);
+  return writeJson(Root);
 }
 
-PlatformReader::PlatformReader(Options Opts, Platform &From, Hooks Hooks,
+PlatformReader::PlatformReader(Options Opts, Platform &Source, Hooks Hooks,
                                std::vector<std::string> DataCentres,
                                uint64_t Seed)
-    : Opts(Opts), Source(From), Hook(std::move(Hooks)),
+    : Opts(Opts), Source(Source), Hook(std::move(Hooks)),
       DataCentres(std::move(DataCentres)), Random(Seed),
       Budget(Opts.ReadsPerSecond, Opts.ReadBurst) {}
 
 std::vector<std::string> PlatformReader::watchedKeys() const {
-  std::vector<std::string> Out{ManifestKey, EvacuationTopic};
+  std::vector<std::string> Keys{ManifestKey, EvacuationTopic};
   for (const std::string &Name : this->DataCentres)
-    Out.push_back(listTopic(Name));
-  return Out;
+    Keys.push_back(listTopic(Name));
+  return Keys;
 }
 
 void PlatformReader::scheduleFullRead() {
@@ -153,8 +154,8 @@
     this->PendingLists.insert(listTopic(Name));
 }
 
-// A change of a list costs one read here whoever watches, so no duty is done
-// less often than another.
+// A change of a list costs one read, whichever node watches. So a spare reader
+// watches like any other, and ListForOthers is the same as List.
 void PlatformReader::tick(TimePoint Now, Duty Wanted) {
   if (Wanted == Duty::Spare)
     Wanted = Duty::Watch;
@@ -174,9 +175,9 @@
     this->startNextRequest(Now);
 }
 
-// A token bucket in front of every call. The platform counts all readers
-// together and refuses what is over; a node that asked on regardless would
-// spend the others' share.
+// Takes a token from the bucket that limits this node's reads. The platform
+// limits the rate of all readers together and refuses reads above it, so a node
+// without its own limit would use up the other nodes' share.
 bool PlatformReader::takeReadToken(TimePoint Now) {
   if (!this->Budget.take(Now))
     return false;
@@ -196,13 +197,14 @@
 }
 
 Platform::ValueCallback PlatformReader::dropIfStale(
-    const std::function<void(const Result<PlatformValue> &, TimePoint)> &Then) {
+    const std::function<void(const Result<PlatformValue> &, TimePoint)>
+        &Callback) {
   return
-      [Then, Epoch = std::weak_ptr<uint64_t>(this->Epoch),
+      [Callback, Epoch = std::weak_ptr<uint64_t>(this->Epoch),
        Started = *this->Epoch](const Result<PlatformValue> &Got, TimePoint At) {
         auto Alive = Epoch.lock();
         if (Alive && *Alive == Started)
-          Then(Got, At);
+          Callback(Got, At);
       };
 }
 
@@ -210,12 +212,13 @@
   this->Busy = false;
   this->InProgress.reset();
   this->scheduleFullRead();
-  // Full jitter: of a herd that failed together, no two come back together.
-  Millis Longest =
+  // The whole delay is random (full jitter), so that nodes that failed together
+  // don't retry together.
+  Millis MaxDelay =
       std::min(this->Opts.MaxBackoff, this->Opts.InitialBackoff *
                                           (1 << std::min(this->Failures, 10u)));
   ++this->Failures;
-  this->NotBefore = Now + Millis(this->Random() % (Longest.count() + 1));
+  this->NotBefore = Now + Millis(this->Random() % (MaxDelay.count() + 1));
   this->Hook.Failed(Why, Now);
 }
 
@@ -231,9 +234,9 @@
           }));
 }
 
-// A data centre whose list is not published yet, or the first version. The
-// watch tells when it comes; failing instead would keep all the rest from being
-// read.
+// Whether the error means that a list or the first version has not been
+// published yet. The watch reports when it is. Treating it as a failure would
+// keep everything else from being read.
 bool PlatformReader::isNotYetPublished(const Error &Why) const {
   return this->CurrentDuty == Duty::Watch && Why.Code == Errc::NotFound;
 }
@@ -265,10 +268,10 @@
   this->Busy = false;
   this->succeed();
   this->WatchRevision = std::max(this->WatchRevision, Got->Revision);
-  DocumentPtr Taken = this->rebaseAfterRestore(Key, *List, Now);
-  this->ListStamps[Key] = Taken->stamp();
-  this->Hook.Publish(Key, Taken, Now);
-  this->Hook.Confirm(Key, Taken->stamp().Version, Taken->stamp().Revision,
+  DocumentPtr Accepted = this->rebaseAfterRestore(Key, *List, Now);
+  this->ListStamps[Key] = Accepted->stamp();
+  this->Hook.Publish(Key, Accepted, Now);
+  this->Hook.Confirm(Key, Accepted->stamp().Version, Accepted->stamp().Revision,
                      AskedAt);
   this->startNextRequest(Now);
 }
@@ -291,8 +294,9 @@
           }));
 }
 
-// A value that cannot be read stays as it is until somebody publishes another:
-// reading it again would only cost reads, so go on and wait for a change.
+// Skips a value that can't be parsed. It stays invalid until another one is
+// published, so reading it again would be useless; the watch reports the
+// change.
 void PlatformReader::skipInvalidValue(uint64_t Revision, const Error &Why,
                                       TimePoint Now) {
   this->Busy = false;
@@ -301,76 +305,80 @@
   this->startNextRequest(Now);
 }
 
-// A manifest tells what has changed since the version before, so that a reader
-// that has that one reads a few hundred bytes. The whole contents of 940
-// services are 175 KB, and 47 KB/s at the two-year rate of changes, for each
-// reader.
+// A manifest lists the changes since the previous version, so a reader that has
+// that version reads a few hundred bytes. The complete contents of 940 services
+// are 175 KB, which at the rate of changes expected in two years is 47 KB/s for
+// each reader.
 void PlatformReader::onManifest(const PlatformValue &Value, TimePoint AskedAt,
                                 TimePoint Now) {
   FaultList Faults;
-  std::optional<Manifest> Read = readManifest(Value.Bytes, Faults);
-  if (!Read) {
+  std::optional<Manifest> NewManifest = readManifest(Value.Bytes, Faults);
+  if (!NewManifest) {
     this->ManifestPending = false;
     return this->skipInvalidValue(Value.Revision,
                                   Error{Errc::Invalid, "read-manifest",
                                         "platform", Faults.front().text()},
                                   Now);
   }
-  if (Read->ContentsHash == this->KnownContentsHash)
-    return this->startVersionRead(*Read, this->KnownRecords, Value.Revision,
-                                  AskedAt, Now);
-  if (Read->BaseHash == 0 || Read->BaseHash != this->KnownContentsHash)
-    return this->requestContents(*Read, Value.Revision, AskedAt, Now);
-  RecordHashes Wanted = this->KnownRecords;
-  for (const auto &[Name, Hash] : Read->Changed)
-    Wanted[Name] = Hash;
-  for (const std::string &Name : Read->Removed)
-    Wanted.erase(Name);
-  // Whoever wrote the changes may have been wrong; the whole is the truth.
-  if (contentHash(writeContents(Wanted)) != Read->ContentsHash)
-    return this->requestContents(*Read, Value.Revision, AskedAt, Now);
-  this->startVersionRead(*Read, std::move(Wanted), Value.Revision, AskedAt,
-                         Now);
-}
-
-void PlatformReader::requestContents(const Manifest &Of, uint64_t Revision,
-                                     TimePoint AskedAt, TimePoint Now) {
+  if (NewManifest->ContentsHash == this->KnownContentsHash)
+    return this->startVersionRead(*NewManifest, this->KnownRecords,
+                                  Value.Revision, AskedAt, Now);
+  if (NewManifest->BaseHash == 0 ||
+      NewManifest->BaseHash != this->KnownContentsHash)
+    return this->requestContents(*NewManifest, Value.Revision, AskedAt, Now);
+  RecordHashes Hashes = this->KnownRecords;
+  for (const auto &[Name, Hash] : NewManifest->Changed)
+    Hashes[Name] = Hash;
+  for (const std::string &Name : NewManifest->Removed)
+    Hashes.erase(Name);
+  // The changes may have been written wrongly; the hash of the complete
+  // contents is authoritative.
+  if (contentHash(writeContents(Hashes)) != NewManifest->ContentsHash)
+    return this->requestContents(*NewManifest, Value.Revision, AskedAt, Now);
+  this->startVersionRead(*NewManifest, std::move(Hashes), Value.Revision,
+                         AskedAt, Now);
+}
+
+void PlatformReader::requestContents(const Manifest &NewManifest,
+                                     uint64_t Revision, TimePoint AskedAt,
+                                     TimePoint Now) {
   this->Busy = false;
   if (!this->takeReadToken(Now))
     return;
   this->Busy = true;
   this->Source.get(
-      ContentsPrefix + hexHash(Of.ContentsHash), Now,
-      this->dropIfStale([this, Of, Revision, AskedAt](
+      ContentsPrefix + hexHash(NewManifest.ContentsHash), Now,
+      this->dropIfStale([this, NewManifest, Revision, AskedAt](
                             const Result<PlatformValue> &Got, TimePoint At) {
         if (!Got)
           return this->fail(Got.error(), At);
         FaultList Faults;
-        std::optional<RecordHashes> Wanted = readContents(Got->Bytes, Faults);
-        if (!Wanted || contentHash(Got->Bytes) != Of.ContentsHash)
+        std::optional<RecordHashes> Hashes = readContents(Got->Bytes, Faults);
+        if (!Hashes || contentHash(Got->Bytes) != NewManifest.ContentsHash)
           return this->fail(
               Error{Errc::BadMessage, "read-contents", "platform",
-                    Wanted ? "does not match its hash" : Faults.front().text()},
+                    Hashes ? "does not match its hash" : Faults.front().text()},
               At);
-        this->startVersionRead(Of, std::move(*Wanted), Revision, AskedAt, At);
+        this->startVersionRead(NewManifest, std::move(*Hashes), Revision,
+                               AskedAt, At);
       }));
 }
 
-void PlatformReader::startVersionRead(const Manifest &Of, RecordHashes Wanted,
-                                      uint64_t Revision, TimePoint AskedAt,
-                                      TimePoint Now) {
+void PlatformReader::startVersionRead(const Manifest &NewManifest,
+                                      RecordHashes Hashes, uint64_t Revision,
+                                      TimePoint AskedAt, TimePoint Now) {
   this->Busy = false;
   this->ManifestPending = false;
   this->InProgress = std::make_unique<VersionRead>();
-  this->InProgress->Version = Of.Version;
-  this->InProgress->ContentsHash = Of.ContentsHash;
+  this->InProgress->Version = NewManifest.Version;
+  this->InProgress->ContentsHash = NewManifest.ContentsHash;
   this->InProgress->Revision = Revision;
   this->InProgress->RequestedAt = AskedAt;
-  DocumentPtr Held = this->Hook.CurrentDocument(ConfigTopic);
-  for (const auto &[Name, Hash] : Wanted) {
-    if (Held) {
-      auto Old = Held->entries().find(Name);
-      if (Old != Held->entries().end() &&
+  DocumentPtr Current = this->Hook.CurrentDocument(ConfigTopic);
+  for (const auto &[Name, Hash] : Hashes) {
+    if (Current) {
+      auto Old = Current->entries().find(Name);
+      if (Old != Current->entries().end() &&
           contentHash(*Old->second.Bytes) == Hash) {
         this->InProgress->Entries.insert(*Old);
         continue;
@@ -378,19 +386,19 @@
     }
     this->InProgress->MissingRecords.emplace_back(Name, Hash);
   }
-  this->InProgress->Hashes = std::move(Wanted);
+  this->InProgress->Hashes = std::move(Hashes);
   this->requestMissingRecords(Now);
 }
 
 void PlatformReader::requestMissingRecords(TimePoint Now) {
-  VersionRead &Of = *this->InProgress;
-  while (!Of.MissingRecords.empty() &&
-         Of.RunningReads < this->Opts.MaxParallelReads) {
+  VersionRead &Pending = *this->InProgress;
+  while (!Pending.MissingRecords.empty() &&
+         Pending.RunningReads < this->Opts.MaxParallelReads) {
     if (!this->takeReadToken(Now))
       return;
-    auto [Name, Hash] = Of.MissingRecords.back();
-    Of.MissingRecords.pop_back();
-    ++Of.RunningReads;
+    auto [Name, Hash] = Pending.MissingRecords.back();
+    Pending.MissingRecords.pop_back();
+    ++Pending.RunningReads;
     this->Source.get(
         RecordPrefix + hexHash(Hash), Now,
         this->dropIfStale([this, Name = Name, Hash = Hash](
@@ -398,16 +406,16 @@
           this->onRecord(Name, Hash, Got, At);
         }));
   }
-  if (!Of.MissingRecords.empty() || Of.RunningReads != 0)
+  if (!Pending.MissingRecords.empty() || Pending.RunningReads != 0)
     return;
-  DocumentPtr Doc =
-      Document::make(Of.Version, Of.Revision, std::move(Of.Entries));
-  this->KnownContentsHash = Of.ContentsHash;
-  this->KnownRecords = std::move(Of.Hashes);
-  this->ManifestVersion = Of.Version;
-  this->ManifestRevision = Of.Revision;
-  this->WatchRevision = std::max(this->WatchRevision, Of.Revision);
-  TimePoint AskedAt = Of.RequestedAt;
+  DocumentPtr Doc = Document::make(Pending.Version, Pending.Revision,
+                                   std::move(Pending.Entries));
+  this->KnownContentsHash = Pending.ContentsHash;
+  this->KnownRecords = std::move(Pending.Hashes);
+  this->ManifestVersion = Pending.Version;
+  this->ManifestRevision = Pending.Revision;
+  this->WatchRevision = std::max(this->WatchRevision, Pending.Revision);
+  TimePoint AskedAt = Pending.RequestedAt;
   this->InProgress.reset();
   this->succeed();
   this->Hook.Publish(ConfigTopic, Doc, Now);
@@ -421,7 +429,7 @@
   if (!this->InProgress)
     return;
   if (!Got || contentHash(Got->Bytes) != Hash) {
-    ++*this->Epoch; // drop the other answers of this gathering
+    ++*this->Epoch; // drop the answers to the other record reads
     return this->fail(Got ? Error{Errc::BadMessage, "read-record", "platform",
                                   Name + " does not match its hash"}
                           : Got.error(),
@@ -453,16 +461,17 @@
     return this->fail(Got.error(), Now);
   this->Busy = false;
   this->succeed();
-  for (const PlatformChange &One : Got->Changed) {
-    if (One.Key == ManifestKey)
+  for (const PlatformChange &Change : Got->Changed) {
+    if (Change.Key == ManifestKey)
       this->ManifestPending = true;
     else
-      this->PendingLists.insert(One.Key);
+      this->PendingLists.insert(Change.Key);
   }
   this->trackRevision(Got->Revision, Now);
-  // It answers from an old copy. That confirms nothing, but it may have been
-  // restored from that copy for good, and count on from there. So look at all
-  // it has, now and then; what is old is refused by its stamp.
+  // The platform runs on an older copy, so its answer confirms nothing. But it
+  // may have been restored from that copy for good and continue counting
+  // revisions from there. So everything is read again, at intervals of
+  // MaxBackoff; documents with an old stamp are refused.
   if (Got->Revision < this->WatchRevision) {
     this->WatchRevision = Got->Revision;
     this->scheduleFullRead();
@@ -487,19 +496,20 @@
          Now - *this->BehindSince >= this->Opts.RestoreDetectionDelay;
 }
 
-// Lists are soft state: what the platform says now is right, also after it was
-// restored and counts its revisions from an old number. Such a list is entered
-// one above the one held, or nobody would take it until the count has caught
-// up. Versions are not: operators publish a higher number.
+// The platform's current list is authoritative, also after the platform was
+// restored and counts its revisions from a lower number. A list read after a
+// restore gets a version one above the node's current list, as nodes would
+// otherwise refuse it until the count has caught up. Configuration versions
+// need no such change: operators publish a higher number.
 DocumentPtr PlatformReader::rebaseAfterRestore(const std::string &Key,
                                                const DocumentPtr &List,
                                                TimePoint Now) const {
-  DocumentPtr Held = this->Hook.CurrentDocument(Key);
-  if (!Held || !this->isRestored(Now) || List->stamp() > Held->stamp())
+  DocumentPtr Current = this->Hook.CurrentDocument(Key);
+  if (!Current || !this->isRestored(Now) || List->stamp() > Current->stamp())
     return List;
-  if (List->stamp().Hash == Held->stamp().Hash)
-    return Held;
-  return Document::make(Held->stamp().Version + 1, List->stamp().Revision,
+  if (List->stamp().Hash == Current->stamp().Hash)
+    return Current;
+  return Document::make(Current->stamp().Version + 1, List->stamp().Revision,
                         List->entries());
 }
 
@@ -507,9 +517,9 @@
   if (!this->ManifestPending)
     this->Hook.Confirm(ConfigTopic, this->ManifestVersion,
                        this->ManifestRevision, AskedAt);
-  for (const auto &[Key, Place] : this->ListStamps)
+  for (const auto &[Key, LastStamp] : this->ListStamps)
     if (!this->PendingLists.count(Key))
-      this->Hook.Confirm(Key, Place.Version, Place.Revision, AskedAt);
+      this->Hook.Confirm(Key, LastStamp.Version, LastStamp.Revision, AskedAt);
 }
 
 } // namespace hickorylift
--- a/src/reading/PlatformReader.h
+++ b/src/reading/PlatformReader.h
@@ -11,65 +11,69 @@
 #include <random>
 #include <set>
 
-// A Reader brings documents from the platform to one node, for as long as the
-// node has the duty to.
+// A PlatformReader is the DocumentSource for a Platform: it reads instance
+// lists, evacuations, manifests and the records that manifests refer to, and
+// publishes them as documents to one node.
 //
-//   Reader::Hooks Hooks;
-//   Hooks.Publish = [&](const std::string &Topic, DocumentPtr Doc, TimePoint)
-//   {}; Reader Read(Reader::Options(), Platform, Hooks, {"north", "south"},
-//               /*Seed=*/7);
-//   Read.tick(Now, Reader::Duty::Watch);     // a few times a second
+//   PlatformReader::Hooks Hooks;
+//   Hooks.Publish = [&](const std::string &Topic, DocumentPtr Doc,
+//                       TimePoint) {};
+//   PlatformReader Read(PlatformReader::Options(), Platform, Hooks,
+//                       {"north", "south"}, /*Seed=*/7);
+//   Read.tick(Now, PlatformReader::Duty::Watch); // a few times a second
 
 namespace hickorylift {
 
 /// From a record's entry name to the hash of its bytes.
 using RecordHashes = std::map<std::string, uint64_t>;
 
-/// What a version consists of, as the platform publishes it: the hash of its
-/// whole contents, and what has changed since another version's.
+/// Describes a configuration version as the platform publishes it: the hash of
+/// its complete contents, and the changes from the contents of another version.
 struct Manifest {
   uint64_t Version = 0;
-  /// Of the contents, written by writeContents; also their key.
+  /// Hash of the text that writeContents returns; also the key of that text.
   uint64_t ContentsHash = 0;
-  /// The contents that the changes start from; 0 for none.
+  /// Hash of the contents to which the changes apply; 0 if there are none.
   uint64_t BaseHash = 0;
   RecordHashes Changed;
   std::vector<std::string> Removed;
 };
 
-/// The contents of a version as a value, and back.
-std::string writeContents(const RecordHashes &Of);
+/// Serialises and parses the contents of a version.
+std::string writeContents(const RecordHashes &Hashes);
 std::optional<RecordHashes> readContents(const std::string &Text,
                                          FaultList &Faults);
-/// A manifest for New. Old may be empty.
+/// Makes a manifest for New, with the changes from Old unless Old is empty.
 Manifest makeManifest(uint64_t Version, const RecordHashes &Old,
                       const RecordHashes &New);
 
-/// Reads a manifest; every fault is added and none is passed over.
+/// Parses a manifest. Adds every fault to Faults, and returns nothing if there
+/// are any.
 std::optional<Manifest> readManifest(const std::string &Text,
                                      FaultList &Faults);
-std::string writeManifest(const Manifest &Of);
+std::string writeManifest(const Manifest &Value);
 
 class PlatformReader : public DocumentSource {
 public:
   using Duty = ReadDuty;
 
   struct Options {
-    /// How long one watch may wait at the platform. The age of what we hold
-    /// grows up to this while nothing changes.
+    /// How long one watch may wait at the platform. While nothing changes, the
+    /// age of the node's documents grows up to this.
     Millis WatchWait{10000};
-    /// First wait after a failure; doubles up to the longest, with jitter.
+    /// The wait after a failure is random, up to a limit that starts at
+    /// InitialBackoff and doubles with each failure up to MaxBackoff.
     Millis InitialBackoff{200};
     Millis MaxBackoff{5000};
-    /// A new duty starts within this, at random: a herd that starts together
-    /// does not read together.
+    /// A new duty starts after a random delay up to this, so that nodes that
+    /// start together do not read together.
     Millis StartJitter{300};
-    /// Reads a second, and at once.
+    /// Rate and burst of reads.
     double ReadsPerSecond = 100;
     double ReadBurst = 200;
-    /// A platform that answers from before what it answered already is an old
-    /// copy; after this long it counts as restored from one, and its lists are
-    /// taken again.
+    /// A platform whose revision is lower than one that it reported before runs
+    /// on an older copy. After this long it counts as restored from that copy,
+    /// and its lists are accepted again.
     Millis RestoreDetectionDelay{30000};
     /// Records read at the same time.
     size_t MaxParallelReads = 16;
@@ -77,10 +81,10 @@
 
   using Hooks = SourceHooks;
 
-  /// DataCentres: all of the deployment, this node's own first. Each reader
+  /// DataCentres are all of the deployment, the local one first. Each reader
   /// watches all lists, so that a data centre whose own readers are dead is
   /// still known to the others.
-  PlatformReader(Options Opts, Platform &From, Hooks Hooks,
+  PlatformReader(Options Opts, Platform &Source, Hooks Hooks,
                  std::vector<std::string> DataCentres, uint64_t Seed);
 
   void tick(TimePoint Now, Duty Wanted) override;
@@ -88,6 +92,7 @@
   Duty duty() const { return this->CurrentDuty; }
 
 private:
+  /// A configuration version whose records are being read.
   struct VersionRead {
     uint64_t Version = 0;
     uint64_t ContentsHash = 0;
@@ -105,9 +110,9 @@
   void requestManifest(TimePoint Now);
   void skipInvalidValue(uint64_t Revision, const Error &Why, TimePoint Now);
   void onManifest(const PlatformValue &Value, TimePoint AskedAt, TimePoint Now);
-  void requestContents(const Manifest &Of, uint64_t Revision, TimePoint AskedAt,
-                       TimePoint Now);
-  void startVersionRead(const Manifest &Of, RecordHashes Wanted,
+  void requestContents(const Manifest &NewManifest, uint64_t Revision,
+                       TimePoint AskedAt, TimePoint Now);
+  void startVersionRead(const Manifest &NewManifest, RecordHashes Hashes,
                         uint64_t Revision, TimePoint AskedAt, TimePoint Now);
   void requestMissingRecords(TimePoint Now);
   void onRecord(const std::string &Name, uint64_t Hash,
@@ -130,7 +135,7 @@
   void scheduleFullRead();
   Platform::ValueCallback dropIfStale(
       const std::function<void(const Result<PlatformValue> &, TimePoint)>
-          &Then);
+          &Callback);
 
   Options Opts;
   Platform &Source;
@@ -139,27 +144,30 @@
   std::mt19937_64 Random;
   Duty CurrentDuty = Duty::None;
   TimePoint NotBefore;
+  // Whether a request is in progress.
   bool Busy = false;
   // Keys of the lists to read.
   std::set<std::string> PendingLists;
   bool ManifestPending = false;
+  // The revision after which the next watch waits for changes.
   uint64_t WatchRevision = 0;
-  // The highest revision seen, and since when the platform is behind it.
+  // The highest revision seen, and since when the platform reports lower ones.
   uint64_t HighestRevision = 0;
   std::optional<TimePoint> BehindSince;
-  // Last seen, for confirming.
+  // What was read last, to confirm it while the platform reports no change.
   std::map<std::string, Stamp> ListStamps;
   uint64_t ManifestVersion = 0;
   uint64_t ManifestRevision = 0;
-  // The contents read last, and their hash: what a manifest's changes may
-  // start from.
+  // The contents read last, and their hash. Changes in the next manifest can be
+  // applied to them if its BaseHash is the same.
   uint64_t KnownContentsHash = 0;
   RecordHashes KnownRecords;
   std::unique_ptr<VersionRead> InProgress;
   unsigned Failures = 0;
   TokenBucket Budget;
   uint64_t Reads = 0;
-  // Answers to an older duty, or to an object that is gone, are dropped.
+  // Incremented to drop the answers to all earlier requests. Callbacks hold a
+  // weak pointer, so answers after this object's destruction are dropped too.
   std::shared_ptr<uint64_t> Epoch = std::make_shared<uint64_t>(0);
 };
 
