--- a/src/reading/StorePublishing.cpp
+++ b/src/reading/StorePublishing.cpp
@@ -4,10 +4,10 @@
 
 #include <algorithm>
 
-// Builds documents from StoreReader's copy of the store and publishes those the
-// node does not hold, again if needed: the spreader may have refused them.
-// Entries missing after an outage or a restore of the store are kept until
-// SettledAt or RestoreSettledAt.
+// The part of StoreReader that builds documents from its copy of the store and
+// publishes those that the node does not have. A document is published again if
+// the spreader refused it. Entries missing after an outage or a restore of the
+// store are kept until InstanceGraceEnd or RestoreGraceEnd.
 
 namespace hickorylift {
 
@@ -23,8 +23,8 @@
   return !Prefix.empty() && Prefix.rfind(this->Layout.Prefix, 0) == 0;
 }
 
-// Also where there are none: that one is over must overtake what others still
-// hold of it.
+// Publishes a document even if there are no evacuations: it has to supersede
+// documents on other nodes that still contain an evacuation that has ended.
 void StoreReader::publishEvacuations(TimePoint Now) {
   if (!this->readsEvacuations())
     return;
@@ -35,47 +35,48 @@
       Now < this->RestoreGraceEnd && this->keepMissingEvacuations(DataCentres);
   DocumentPtr New = this->makeDocument(
       makeEvacuations(0, DataCentres)->entries(), this->EvacuationsIncludeKept);
-  bool Known = this->nodeHas(EvacuationTopic, New);
+  bool IsCurrent = this->nodeHas(EvacuationTopic, New);
   this->EvacuationDoc =
-      Known ? this->Hook.CurrentDocument(EvacuationTopic) : New;
-  if (Known)
+      IsCurrent ? this->Hook.CurrentDocument(EvacuationTopic) : New;
+  if (IsCurrent)
     return;
   this->Hook.Publish(EvacuationTopic, New, Now);
 }
 
-// Adds evacuations that this node holds and that the restored store may have
-// lost. Returns whether any were added.
+// Adds evacuations that are in this node's document and that the restored store
+// may have lost. Returns whether any were added.
 bool StoreReader::keepMissingEvacuations(
     std::set<std::string> &DataCentres) const {
-  DocumentPtr Held = this->Hook.CurrentDocument(EvacuationTopic);
-  if (!Held)
+  DocumentPtr Current = this->Hook.CurrentDocument(EvacuationTopic);
+  if (!Current)
     return false;
   bool Kept = false;
-  for (const std::string &Name : evacuatedIn(*Held))
+  for (const std::string &Name : evacuatedIn(*Current))
     if (!this->RemovedEvacuationKeys.count(this->Layout.EvacuationPrefix +
                                            Name))
       Kept |= DataCentres.insert(Name).second;
   return Kept;
 }
 
-// Makes a document at the current revision. One with kept entries is ordered
+// Makes a document at the copy's revision. One with kept entries is ordered
 // just before the store's content at that revision, which then supersedes it.
 DocumentPtr StoreReader::makeDocument(EntryMap Entries, bool HasKept) const {
-  uint64_t At = this->globalRevision(this->CopyRevision);
-  return Document::make(At, HasKept && At > 0 ? At - 1 : At,
+  uint64_t Revision = this->globalRevision(this->CopyRevision);
+  return Document::make(Revision,
+                        HasKept && Revision > 0 ? Revision - 1 : Revision,
                         std::move(Entries));
 }
 
-// Whether the document that the node holds for Topic has the content of Doc.
+// Whether the node's document for Topic has the same content as Doc.
 bool StoreReader::nodeHas(const std::string &Topic,
                           const DocumentPtr &Doc) const {
-  DocumentPtr Held = this->Hook.CurrentDocument(Topic);
-  return Held && Held->stamp().Hash == Doc->stamp().Hash;
+  DocumentPtr Current = this->Hook.CurrentDocument(Topic);
+  return Current && Current->stamp().Hash == Doc->stamp().Hash;
 }
 
-// Whether the node lacks a document that was read. The spreader refuses
-// documents while a neighbour announces a newer one, and the neighbour may
-// disconnect before sending it.
+// Whether the node lacks a document that was read and published. The spreader
+// refuses documents while a neighbour announces a newer one, and the neighbour
+// may disconnect before sending it.
 bool StoreReader::hasRefusedDocument() const {
   if (this->EvacuationDoc &&
       !this->nodeHas(EvacuationTopic, this->EvacuationDoc))
@@ -83,18 +84,20 @@
   if (this->ConfigDoc && this->lacksConfig())
     return true;
   return std::any_of(this->ListDocs.begin(), this->ListDocs.end(),
-                     [this](const auto &One) {
-                       return !this->nodeHas(listTopic(One.first), One.second);
+                     [this](const auto &Published) {
+                       return !this->nodeHas(listTopic(Published.first),
+                                             Published.second);
                      });
 }
 
-// Whether the node holds no version or an older one than was read.
+// Whether the node has no version or an older one than was read.
 bool StoreReader::lacksConfig() const {
-  DocumentPtr Held = this->Hook.CurrentDocument(ConfigTopic);
-  return !Held || Held->stamp() < this->ConfigDoc->stamp();
+  DocumentPtr Current = this->Hook.CurrentDocument(ConfigTopic);
+  return !Current || Current->stamp() < this->ConfigDoc->stamp();
 }
 
-// Returns whether the pending item holds another document than ConfigDoc.
+// Decodes the pending item. Returns whether its document differs from
+// ConfigDoc.
 bool StoreReader::decodeConfig(TimePoint Now) {
   if (!this->PendingConfig)
     return false;
@@ -119,42 +122,44 @@
     this->Hook.Publish(ConfigTopic, this->ConfigDoc, Now);
 }
 
-// Two entries may name one place for a while: the address of one that is gone
-// is given out again. The later one is the one that is there.
+// Two items may have the same instance name for a while, if the address of a
+// removed instance is assigned again before its item expires. The item that was
+// created later is the valid one.
 StoreReader::EntriesByDataCentre StoreReader::listEntries() const {
   std::map<std::string, const ListedInstance *> ByName;
-  for (const auto &[Key, One] : this->Instances) {
-    const ListedInstance *&Kept = ByName[One.Details.Name];
-    if (!Kept || Kept->CreatedRevision < One.CreatedRevision)
-      Kept = &One;
+  for (const auto &[Key, Listed] : this->Instances) {
+    const ListedInstance *&Selected = ByName[Listed.Details.Name];
+    if (!Selected || Selected->CreatedRevision < Listed.CreatedRevision)
+      Selected = &Listed;
   }
-  EntriesByDataCentre Out;
+  EntriesByDataCentre Lists;
   for (const std::string &Name : this->DataCentres)
-    Out[Name];
-  for (const auto &[Name, One] : ByName) {
-    auto Place = Out.find(One->Details.DataCentre);
-    if (Place != Out.end())
-      Place->second[Name] = makeEntry(Name, writeInstance(One->Details));
+    Lists[Name];
+  for (const auto &[Name, Listed] : ByName) {
+    auto List = Lists.find(Listed->Details.DataCentre);
+    if (List != Lists.end())
+      List->second[Name] = makeEntry(Name, writeInstance(Listed->Details));
   }
-  return Out;
+  return Lists;
 }
 
-// Adds instances that the node's lists hold and the store lacks, and after a
-// restore also missing drains. Uses the lists the node holds, whatever their
-// source: a process that started while the store was away has read nothing
-// itself and has its lists from others. Returns whether anything was kept.
+// Adds instances that are in the node's lists and missing in the store, and
+// after a restore also missing drains. Uses the node's lists whatever their
+// source: a process that started while the store was unreachable has read
+// nothing itself and received its lists from other nodes. Returns whether
+// anything was kept.
 bool StoreReader::keepMissingEntries(EntriesByDataCentre &Lists,
                                      TimePoint Now) const {
-  std::set<std::string> Read;
-  for (const auto &[Key, One] : this->Instances)
-    Read.insert(One.Details.Name);
+  std::set<std::string> ReadNames;
+  for (const auto &[Key, Listed] : this->Instances)
+    ReadNames.insert(Listed.Details.Name);
   bool Kept = false;
-  for (auto &[Place, Entries] : Lists) {
-    DocumentPtr Held = this->Hook.CurrentDocument(listTopic(Place));
-    if (!Held)
+  for (auto &[DataCentre, Entries] : Lists) {
+    DocumentPtr Current = this->Hook.CurrentDocument(listTopic(DataCentre));
+    if (!Current)
       continue;
-    for (const auto &[Name, Entry] : Held->entries()) {
-      if (!Read.count(Name)) {
+    for (const auto &[Name, Entry] : Current->entries()) {
+      if (!ReadNames.count(Name)) {
         Entries[Name] = Entry;
         Kept = true;
       } else if (Now < this->RestoreGraceEnd) {
@@ -165,15 +170,16 @@
   return Kept;
 }
 
-// Keeps an instance leaving if it was held as leaving in the same start: a
-// restored store may have lost the drain. Returns whether it was kept.
+// Keeps an instance marked as leaving if the node's list, in Previous, has the
+// same start of it as leaving: a restored store may have lost the drain.
+// Returns whether the mark was kept.
 bool StoreReader::keepMissingDrain(EntryMap &Entries, const std::string &Name,
-                                   const DocumentEntry &Held) const {
+                                   const DocumentEntry &Previous) const {
   auto Read = Entries.find(Name);
-  if (Read == Entries.end() || Read->second.Hash == Held.Hash)
+  if (Read == Entries.end() || Read->second.Hash == Previous.Hash)
     return false;
   FaultList Faults;
-  std::optional<Instance> Old = readInstance(*Held.Bytes, Name, Faults);
+  std::optional<Instance> Old = readInstance(*Previous.Bytes, Name, Faults);
   std::optional<Instance> New = readInstance(*Read->second.Bytes, Name, Faults);
   if (!Old || !New || !Old->Leaving || New->Leaving || !Old->sameStart(*New))
     return false;
@@ -186,14 +192,14 @@
   EntriesByDataCentre Lists = this->listEntries();
   this->ListsIncludeKept =
       Now < this->InstanceGraceEnd && this->keepMissingEntries(Lists, Now);
-  for (auto &[Place, Entries] : Lists) {
+  for (auto &[DataCentre, Entries] : Lists) {
     DocumentPtr New =
         this->makeDocument(std::move(Entries), this->ListsIncludeKept);
-    bool Known = this->nodeHas(listTopic(Place), New);
-    this->ListDocs[Place] =
-        Known ? this->Hook.CurrentDocument(listTopic(Place)) : New;
-    if (!Known)
-      this->Hook.Publish(listTopic(Place), New, Now);
+    bool IsCurrent = this->nodeHas(listTopic(DataCentre), New);
+    this->ListDocs[DataCentre] =
+        IsCurrent ? this->Hook.CurrentDocument(listTopic(DataCentre)) : New;
+    if (!IsCurrent)
+      this->Hook.Publish(listTopic(DataCentre), New, Now);
   }
 }
 
@@ -206,8 +212,8 @@
                        this->EvacuationDoc->stamp().Revision, AskedAt);
   if (this->ListsIncludeKept)
     return;
-  for (const auto &[Place, Doc] : this->ListDocs)
-    this->Hook.Confirm(listTopic(Place), Doc->stamp().Version,
+  for (const auto &[DataCentre, Doc] : this->ListDocs)
+    this->Hook.Confirm(listTopic(DataCentre), Doc->stamp().Version,
                        Doc->stamp().Revision, AskedAt);
 }
 
--- a/src/reading/StoreReader.cpp
+++ b/src/reading/StoreReader.cpp
@@ -4,29 +4,32 @@
 
 #include <algorithm>
 
-// Read all items once, then wait in one watch for what changes, and read all
-// again only where the store no longer knows what has changed since.
+// Reads all items once, then waits for changes with one watch at a time. Reads
+// everything again only if the store no longer has the history since the last
+// revision read.
 //
-// A node whose neighbours have told it all that the store held at some revision
-// begins with the watch. Reading all of 300 instances takes seven calls, and
-// nodes that start, or lose their parents, would make thousands of them in a
-// minute, of a rate that the whole fleet shares (docs/design/starting.md).
+// A node whose neighbours have sent it everything that the store held at some
+// revision starts with the watch. Reading all of 300 instances takes seven
+// calls, and nodes that start or lose their parents would make thousands of
+// them in a minute, out of a rate limit that the whole fleet shares
+// (docs/design/starting.md).
 //
-// Pages are not a snapshot. The watch therefore goes on from the revision of
-// the first page: what changed between the pages comes again, and an item is
+// Pages are not a snapshot. The watch therefore starts from the revision of the
+// first page: changes between the pages are delivered again, and an item is
 // only ever replaced by a later revision of itself.
 //
 // A store restored from an older copy reuses revisions, so a revision is only
 // meaningful within its era. An answer of a later era invalidates the state of
 // the previous one, and everything is read again. Documents are ordered by
-// place, which combines era and revision, so documents of a later era supersede
-// those of an earlier one at any revision. Eras are counted from the earliest
-// known to any node: until the store is restored, places equal its revisions,
-// which keeps them compatible with builds without eras.
+// global revision, which combines era and revision, so documents of a later era
+// supersede those of an earlier one at any revision. Eras are counted from the
+// earliest known to any node: until the store is restored, global revisions
+// equal the store's revisions, which keeps them compatible with builds without
+// eras.
 //
-// While the store is away, nobody can renew an entry, and entries of living
-// instances lapse. So after its return, missing instances stay on the list
-// until they have had time to renew; removing them at once would empty the
+// While the store is unreachable, entries cannot be renewed, and those of
+// living instances expire. So after its return, missing instances stay on the
+// list until they have had time to renew; removing them at once would empty the
 // fleet. Those still missing then are removed. A restored store may also lack
 // drains and evacuations until they are written again, so these are kept for
 // the same time. Versions are never held back.
@@ -36,38 +39,39 @@
 namespace {
 
 constexpr unsigned MaxBackoffShift = 10;
-// A place holds the era in its upper 24 bits and the revision in its lower 40.
+// A global revision holds the number of eras since the earliest known one in
+// its upper 24 bits and the revision in its lower 40.
 constexpr unsigned EraShift = 40;
 constexpr uint64_t RevisionMask = (uint64_t(1) << EraShift) - 1;
 
 } // namespace
 
-StoreReader::StoreReader(Options Opts, KeyValueStore &From,
-                         StoreLayout Contents, SourceHooks Hooks,
+StoreReader::StoreReader(Options Opts, KeyValueStore &Store, StoreLayout Layout,
+                         SourceHooks Hooks,
                          std::vector<std::string> DataCentres, uint64_t Seed)
-    : Opts(Opts), Store(From), Layout(std::move(Contents)),
+    : Opts(Opts), Store(Store), Layout(std::move(Layout)),
       Hook(std::move(Hooks)), DataCentres(std::move(DataCentres)), Random(Seed),
       Budget(Opts.ReadsPerSecond, Opts.ReadBurst) {}
 
-void StoreReader::tick(TimePoint Now, ReadDuty Wanted) {
-  bool Reads = Wanted != ReadDuty::None;
-  bool Read = this->CurrentDuty != ReadDuty::None;
-  this->CurrentDuty = Wanted;
-  if (Reads != Read) {
+void StoreReader::tick(TimePoint Now, ReadDuty Duty) {
+  bool HasDuty = Duty != ReadDuty::None;
+  bool HadDuty = this->CurrentDuty != ReadDuty::None;
+  this->CurrentDuty = Duty;
+  if (HasDuty != HadDuty) {
     ++*this->Epoch;
     this->Busy = false;
     this->PageItems.clear();
     this->NotBefore = Now + this->startDelay();
-    // Others have read on meanwhile.
+    // Other nodes may have read later revisions meanwhile.
     this->FullReadNeeded |=
-        Reads && this->Hook.CompleteRevision() >
-                     this->globalRevision(this->CopyRevision);
+        HasDuty && this->Hook.CompleteRevision() >
+                       this->globalRevision(this->CopyRevision);
   }
   if (this->EvacuationsIncludeKept && Now >= this->RestoreGraceEnd)
     this->publishEvacuations(Now);
   if (this->ListsIncludeKept && Now >= this->InstanceGraceEnd)
     this->publishLists(Now);
-  if (Reads && !this->Busy && Now >= this->NotBefore)
+  if (HasDuty && !this->Busy && Now >= this->NotBefore)
     this->startNextRequest(Now);
 }
 
@@ -90,40 +94,43 @@
   this->requestPage(After, Now);
 }
 
+// Takes over the node's documents as the copy if they are complete up to a
+// revision from which a watch can continue. Returns whether it did.
 bool StoreReader::resume() {
-  uint64_t From = this->Hook.CompleteRevision();
-  if (!this->resumeAt(From) || !this->resumeConfig() ||
+  uint64_t Position = this->Hook.CompleteRevision();
+  if (!this->resumeAt(Position) || !this->resumeConfig() ||
       !this->resumeEvacuations() || !this->resumeLists())
     return false;
-  this->CopyRevision = From & RevisionMask;
+  this->CopyRevision = Position & RevisionMask;
   return true;
 }
 
-// Takes over the era of Place and returns whether reading can continue from
-// there. Returns false if Place belongs to another era than the known one.
-bool StoreReader::resumeAt(uint64_t Place) {
-  uint64_t Revision = Place & RevisionMask;
-  std::optional<uint64_t> First = this->Hook.EarliestEra();
-  std::optional<uint64_t> PlaceEra;
-  if (First)
-    PlaceEra = *First + (Place >> EraShift);
-  if (this->Era && PlaceEra != this->Era)
+// Takes over the era of Position, a global revision, and returns whether
+// reading can continue from there. Returns false if Position belongs to another
+// era than the known one.
+bool StoreReader::resumeAt(uint64_t Position) {
+  uint64_t Revision = Position & RevisionMask;
+  std::optional<uint64_t> EarliestEra = this->Hook.EarliestEra();
+  std::optional<uint64_t> PositionEra;
+  if (EarliestEra)
+    PositionEra = *EarliestEra + (Position >> EraShift);
+  if (this->Era && PositionEra != this->Era)
     return false;
-  this->Era = PlaceEra;
+  this->Era = PositionEra;
   return Revision > this->HistoryGoneAt && Revision >= this->CopyRevision;
 }
 
 bool StoreReader::resumeConfig() {
   if (this->Layout.ConfigKey.rfind(this->Layout.Prefix, 0) != 0)
     return true;
-  DocumentPtr Held = this->Hook.CurrentDocument(ConfigTopic);
-  if (!Held)
+  DocumentPtr Current = this->Hook.CurrentDocument(ConfigTopic);
+  if (!Current)
     return false;
-  // A version held from an earlier era has no revision in this one.
-  uint64_t Place = Held->stamp().Revision;
-  bool OfThisEra = Place >= this->globalRevision(0);
-  this->ConfigDoc = Held;
-  this->ConfigRevision = OfThisEra ? Place & RevisionMask : 0;
+  // A version from an earlier era has no revision in this one.
+  uint64_t Position = Current->stamp().Revision;
+  bool OfThisEra = Position >= this->globalRevision(0);
+  this->ConfigDoc = Current;
+  this->ConfigRevision = OfThisEra ? Position & RevisionMask : 0;
   this->PendingConfig.reset();
   return true;
 }
@@ -131,62 +138,63 @@
 bool StoreReader::resumeEvacuations() {
   if (!this->readsEvacuations())
     return true;
-  DocumentPtr Held = this->Hook.CurrentDocument(EvacuationTopic);
-  if (!Held)
+  DocumentPtr Current = this->Hook.CurrentDocument(EvacuationTopic);
+  if (!Current)
     return false;
-  this->EvacuationDoc = Held;
+  this->EvacuationDoc = Current;
   this->EvacuationKeys.clear();
-  for (const std::string &Name : evacuatedIn(*Held))
+  for (const std::string &Name : evacuatedIn(*Current))
     this->EvacuationKeys.insert(this->Layout.EvacuationPrefix + Name);
   return true;
 }
 
-// When an item was created is not in a list. Of two for one place the one that
-// is read later has a greater number, and counts.
+// Instance lists don't contain the revision at which an item was created, so it
+// is set to 0. If a second item with the same instance name is read later, it
+// has a higher one and takes precedence.
 bool StoreReader::resumeLists() {
-  std::map<std::string, ListedInstance> Told;
+  std::map<std::string, ListedInstance> Resumed;
   std::map<std::string, DocumentPtr> Lists;
   FaultList Faults;
-  for (const std::string &Place : this->DataCentres) {
-    DocumentPtr Held = this->Hook.CurrentDocument(listTopic(Place));
-    if (!Held)
+  for (const std::string &DataCentre : this->DataCentres) {
+    DocumentPtr Current = this->Hook.CurrentDocument(listTopic(DataCentre));
+    if (!Current)
       return false;
-    for (const auto &[Name, Entry] : Held->entries()) {
-      std::optional<Instance> One = readInstance(*Entry.Bytes, Name, Faults);
-      if (!One || One->Upstream.empty())
+    for (const auto &[Name, Entry] : Current->entries()) {
+      std::optional<Instance> Parsed = readInstance(*Entry.Bytes, Name, Faults);
+      if (!Parsed || Parsed->Upstream.empty())
         return false;
-      Told[this->Layout.InstanceKey(*One)] = {*One, /*Created=*/0,
-                                              One->ColdLeft};
+      Resumed[this->Layout.InstanceKey(*Parsed)] = {
+          *Parsed, /*CreatedRevision=*/0, Parsed->ColdLeft};
     }
-    Lists[Place] = Held;
+    Lists[DataCentre] = Current;
   }
-  for (const auto &[Key, One] : Told)
-    if (One.Details.Incarnation != 0)
+  for (const auto &[Key, Listed] : Resumed)
+    if (Listed.Details.Incarnation != 0)
       this->LatestIncarnation[Key] =
-          std::max(this->LatestIncarnation[Key], One.Details.Incarnation);
-  this->Instances = std::move(Told);
+          std::max(this->LatestIncarnation[Key], Listed.Details.Incarnation);
+  this->Instances = std::move(Resumed);
   this->ListDocs = std::move(Lists);
   return true;
 }
 
 template <typename T>
 std::function<void(Result<T>, TimePoint)> StoreReader::dropIfStale(
-    std::function<void(const Result<T> &, TimePoint)> Then) {
-  return [Then = std::move(Then), Epoch = std::weak_ptr<uint64_t>(this->Epoch),
+    std::function<void(const Result<T> &, TimePoint)> Callback) {
+  return [Callback = std::move(Callback),
+          Epoch = std::weak_ptr<uint64_t>(this->Epoch),
           Started = *this->Epoch](const Result<T> &Got, TimePoint Now) {
     auto Alive = Epoch.lock();
     if (Alive && *Alive == Started)
-      Then(Got, Now);
+      Callback(Got, Now);
   };
 }
 
 void StoreReader::requestPage(const std::string &After, TimePoint Now) {
-  this->Store.range(
-      this->Layout.Prefix, After, Now,
-      this->dropIfStale<ItemPage>(
-          [this, Now](const Result<ItemPage> &Got, TimePoint Then) {
-            this->onPage(Got, Now, Then);
-          }));
+  this->Store.range(this->Layout.Prefix, After, Now,
+                    this->dropIfStale<ItemPage>(
+                        [this, Now](const Result<ItemPage> &Got, TimePoint At) {
+                          this->onPage(Got, Now, At);
+                        }));
 }
 
 void StoreReader::onPage(const Result<ItemPage> &Got, TimePoint AskedAt,
@@ -226,8 +234,8 @@
   this->Store.watch(
       this->Layout.Prefix, this->CopyRevision, Wait, Now,
       this->dropIfStale<ItemChanges>(
-          [this, Now](const Result<ItemChanges> &Got, TimePoint Then) {
-            this->onChanges(Got, Now, Then);
+          [this, Now](const Result<ItemChanges> &Got, TimePoint At) {
+            this->onChanges(Got, Now, At);
           }));
 }
 
@@ -239,14 +247,14 @@
   if (this->checkEra(Got->Era, Now) != EraCheck::Same)
     return;
   this->CopyRevision = std::max(this->CopyRevision, Got->Revision);
-  for (const ItemChange &One : Got->Changes) {
-    if (One.Item) {
-      this->applyItem(*One.Item, Now);
+  for (const ItemChange &Change : Got->Changes) {
+    if (Change.Item) {
+      this->applyItem(*Change.Item, Now);
       continue;
     }
-    this->Instances.erase(One.Key);
-    if (this->EvacuationKeys.erase(One.Key) != 0)
-      this->RemovedEvacuationKeys.insert(One.Key);
+    this->Instances.erase(Change.Key);
+    if (this->EvacuationKeys.erase(Change.Key) != 0)
+      this->RemovedEvacuationKeys.insert(Change.Key);
   }
   if (!Got->Changes.empty() || this->hasRefusedDocument()) {
     this->publishEvacuations(Now);
@@ -289,14 +297,14 @@
   this->beginEra(*Reported, Now);
 }
 
-void StoreReader::beginEra(uint64_t New, TimePoint Now) {
+void StoreReader::beginEra(uint64_t NewEra, TimePoint Now) {
   if (this->Era) {
     this->InstanceGraceEnd = Now + this->Opts.MissingEntryGrace;
     this->RestoreGraceEnd = this->InstanceGraceEnd;
-    this->Hook.Restored(*this->Era, New, Now);
+    this->Hook.Restored(*this->Era, NewEra, Now);
   }
-  this->Era = New;
-  this->Hook.EraObserved(New);
+  this->Era = NewEra;
+  this->Hook.EraObserved(NewEra);
   this->FullReadNeeded = true;
   this->CopyRevision = 0;
   this->HistoryGoneAt = 0;
@@ -305,13 +313,13 @@
   this->NotBefore = Now + this->startDelay();
 }
 
-// Returns the position of a revision of the current era in the order across
-// eras.
+// Converts a revision of the current era to a global revision, which orders
+// revisions across eras.
 uint64_t StoreReader::globalRevision(uint64_t Revision) const {
   uint64_t CurrentEra = this->Era.value_or(0);
-  uint64_t First =
+  uint64_t FirstEra =
       std::min(this->Hook.EarliestEra().value_or(CurrentEra), CurrentEra);
-  return ((CurrentEra - First) << EraShift) + Revision;
+  return ((CurrentEra - FirstEra) << EraShift) + Revision;
 }
 
 void StoreReader::succeed(TimePoint Now) {
@@ -331,13 +339,14 @@
   if (HistoryGone)
     this->HistoryGoneAt = std::max(this->HistoryGoneAt, this->CopyRevision);
   this->Failing |= !HistoryGone;
-  // Full jitter: of a herd that failed together, no two come back together.
-  Millis Longest =
+  // The whole delay is random (full jitter), so that nodes that failed together
+  // don't retry together.
+  Millis MaxDelay =
       std::min(this->Opts.MaxBackoff,
                this->Opts.InitialBackoff *
                    (1 << std::min(this->Failures, MaxBackoffShift)));
   ++this->Failures;
-  this->NotBefore = Now + Millis(this->Random() % (Longest.count() + 1));
+  this->NotBefore = Now + Millis(this->Random() % (MaxDelay.count() + 1));
   this->Hook.Failed(Why, Now);
 }
 
@@ -356,13 +365,14 @@
     this->EvacuationKeys.insert(Item.Key);
 }
 
-// An item that cannot be read names no upstream: whatever stood there before is
-// no longer what the platform says. The other items are not touched by it.
+// An item that can't be parsed refers to no upstream: the instance that was
+// stored under its key before is removed, since the store no longer contains
+// it. Other items are not affected.
 //
-// An upstream that starts again under its old name has a later start. What its
-// earlier process still has under way to the store may be written after that,
-// and would bring a drain mark back that is over: callers would find an
-// upstream left out that serves.
+// An upstream that restarts under the same name has a higher incarnation. A
+// write by its earlier process may reach the store after that, and would
+// restore a drain mark that no longer applies, so that callers would not use an
+// upstream that serves. So items of an earlier incarnation are ignored.
 void StoreReader::applyInstance(const StoredItem &Item, TimePoint Now) {
   Result<Instance> Read = this->Layout.ReadInstance(Item);
   if (!Read) {
@@ -375,8 +385,8 @@
       return;
     Latest = Read->Incarnation;
     if (this->LatestIncarnation.size() > this->Opts.MaxRememberedStarts)
-      std::erase_if(this->LatestIncarnation, [this](const auto &One) {
-        return !this->Instances.count(One.first);
+      std::erase_if(this->LatestIncarnation, [this](const auto &Entry) {
+        return !this->Instances.count(Entry.first);
       });
   }
   ListedInstance New{*Read, Item.CreatedRevision, Read->ColdLeft};
@@ -384,19 +394,22 @@
   this->Instances[Item.Key] = std::move(New);
 }
 
-// Whoever starts is cold, as everybody knows, and to count its time down would
-// change the lists of the whole fleet at each heartbeat of each upstream. So
-// the lists say only that one which had started is cold again.
+// Every upstream is cold after its start, which all nodes know. Counting the
+// remaining time down in the lists would change the lists of the whole fleet at
+// each heartbeat of each upstream. So the lists only report that an upstream
+// became cold again after it had started, with the time that this cold spell
+// had left when it began.
 void StoreReader::updateColdSpell(ListedInstance &New,
                                   const std::string &Key) const {
   auto Old = this->Instances.find(Key);
-  bool Known = Old != this->Instances.end() &&
-               Old->second.Details.sameStart(New.Details);
-  bool Begins = Known && New.StoredColdLeft > Old->second.StoredColdLeft;
-  bool GoesOn = Known && New.StoredColdLeft.count() > 0;
-  New.Details.ColdLeft = Begins   ? New.StoredColdLeft
-                         : GoesOn ? Old->second.Details.ColdLeft
-                                  : Millis(0);
+  bool IsSameStart = Old != this->Instances.end() &&
+                     Old->second.Details.sameStart(New.Details);
+  bool SpellBegins =
+      IsSameStart && New.StoredColdLeft > Old->second.StoredColdLeft;
+  bool SpellContinues = IsSameStart && New.StoredColdLeft.count() > 0;
+  New.Details.ColdLeft = SpellBegins      ? New.StoredColdLeft
+                         : SpellContinues ? Old->second.Details.ColdLeft
+                                          : Millis(0);
 }
 
 } // namespace hickorylift
--- a/src/reading/StoreReader.h
+++ b/src/reading/StoreReader.h
@@ -9,11 +9,12 @@
 #include <random>
 #include <set>
 
-// A StoreReader keeps a copy of what matters in a key-value store, and
-// publishes versions and lists of instances from it. Where the node has all of
-// that from others already, it only asks what has changed since.
+// A StoreReader is the DocumentSource for a KeyValueStore: it keeps a copy of
+// the relevant items, and publishes configuration versions, instance lists and
+// evacuations from it. If the node already has complete documents from other
+// nodes, the reader only asks the store for what has changed since.
 //
-//   StoreReader Read(StoreReader::Options(), Store, Contents, Hooks,
+//   StoreReader Read(StoreReader::Options(), Store, Layout, Hooks,
 //                    {"north", "south"}, /*Seed=*/7);
 //   Read.tick(Now, ReadDuty::Watch);     // a few times a second
 
@@ -27,35 +28,39 @@
     /// WatchWait for the first watch after a failure. Kept short because the
     /// store may have been restored, which only its answer shows.
     Millis WatchWaitAfterFailure{1};
-    /// Between the starts of two watches. Changes that come in quick
-    /// succession are then read together, at one call for all of them.
+    /// Minimum time between the starts of two watches. Changes in quick
+    /// succession are then read together, with one call for all of them.
     Millis WatchInterval{250};
-    /// The same of a spare reader. It matters where the first one has fallen
-    /// silent: together with that, what the platform says must still be known
-    /// within the two to three seconds in which operators expect it in force.
+    /// WatchInterval of a spare reader. It matters when the primary reader has
+    /// stopped responding: detecting that and this interval together must stay
+    /// within the two to three seconds in which operators expect a change to be
+    /// in force.
     Millis SpareWatchInterval{1500};
-    /// First wait after a failure; doubles up to the longest, with jitter.
+    /// The wait after a failure is random, up to a limit that starts at
+    /// InitialBackoff and doubles with each failure up to MaxBackoff.
     Millis InitialBackoff{100};
     Millis MaxBackoff{1000};
-    /// A new duty starts within this, at random: a herd that starts together
-    /// does not read together.
+    /// A new duty starts after a random delay up to this, so that nodes that
+    /// start together do not read together.
     Millis StartJitter{100};
-    /// How long after the store's return an instance that is missing may still
-    /// come back: entries lapse while nobody can renew them.
+    /// How long missing instances are kept after the store becomes reachable
+    /// again: their entries expired because they could not be renewed during
+    /// the outage, and may be written again.
     Millis MissingEntryGrace{2200};
-    /// Calls a second, and at once.
+    /// Rate and burst of calls.
     double ReadsPerSecond = 20;
     double ReadBurst = 20;
-    /// Items whose latest start is remembered after they are gone. A fleet that
-    /// replaces 2,500 upstreams a day fills this in some weeks.
+    /// Number of items whose latest incarnation is remembered, also after the
+    /// items are gone. A fleet that replaces 2,500 upstreams a day reaches this
+    /// number in some weeks.
     size_t MaxRememberedStarts = 50000;
   };
 
-  StoreReader(Options Opts, KeyValueStore &From, StoreLayout Contents,
+  StoreReader(Options Opts, KeyValueStore &Store, StoreLayout Layout,
               SourceHooks Hooks, std::vector<std::string> DataCentres,
               uint64_t Seed);
 
-  void tick(TimePoint Now, ReadDuty Wanted) override;
+  void tick(TimePoint Now, ReadDuty Duty) override;
   /// The store's era; nothing if it is not known.
   std::optional<uint64_t> era() const { return this->Era; }
   /// Takes over an era that another reader has seen. If it is later than the
@@ -65,15 +70,17 @@
 
 private:
   struct ListedInstance {
+    // The instance as published. Its ColdLeft is set only for a cold spell
+    // after the first one of its start.
     Instance Details;
     uint64_t CreatedRevision = 0;
-    // As its entry says, while Who says so only of a later cold spell.
+    // The remaining cold time according to the item in the store.
     Millis StoredColdLeft{0};
   };
 
   void startNextRequest(TimePoint Now);
   bool resume();
-  bool resumeAt(uint64_t Place);
+  bool resumeAt(uint64_t Position);
   bool resumeLists();
   bool resumeConfig();
   bool resumeEvacuations();
@@ -84,7 +91,7 @@
                  TimePoint Now);
   enum class EraCheck { Same, Later, Earlier };
   EraCheck checkEra(const std::optional<uint64_t> &Reported, TimePoint Now);
-  void beginEra(uint64_t New, TimePoint Now);
+  void beginEra(uint64_t NewEra, TimePoint Now);
   uint64_t globalRevision(uint64_t Revision) const;
   void succeed(TimePoint Now);
   void fail(const Error &Why, TimePoint Now);
@@ -104,14 +111,14 @@
   using EntriesByDataCentre = std::map<std::string, EntryMap>;
   bool keepMissingEntries(EntriesByDataCentre &Lists, TimePoint Now) const;
   bool keepMissingDrain(EntryMap &Entries, const std::string &Name,
-                        const DocumentEntry &Held) const;
+                        const DocumentEntry &Previous) const;
   EntriesByDataCentre listEntries() const;
   void confirmAll(TimePoint AskedAt);
   void reportComplete();
   Millis startDelay();
   template <typename T>
   std::function<void(Result<T>, TimePoint)>
-  dropIfStale(std::function<void(const Result<T> &, TimePoint)> Then);
+  dropIfStale(std::function<void(const Result<T> &, TimePoint)> Callback);
 
   Options Opts;
   KeyValueStore &Store;
@@ -120,8 +127,9 @@
   std::vector<std::string> DataCentres;
   std::mt19937_64 Random;
   ReadDuty CurrentDuty = ReadDuty::None;
+  // Whether a request is in progress.
   bool Busy = false;
-  // Whether all items must be read, for there is no revision to go on from.
+  // Whether all items must be read, as there is no revision to continue from.
   bool FullReadNeeded = true;
   TimePoint NotBefore;
   TimePoint WatchStartedAt;
@@ -129,17 +137,18 @@
   std::optional<uint64_t> Era;
   // The revision up to which the copy is complete.
   uint64_t CopyRevision = 0;
-  // From there on the store had no history any more.
+  // The highest revision from which a watch failed because the store no longer
+  // had the history after it.
   uint64_t HistoryGoneAt = 0;
   // Pages read so far, and the store's revision at the first of them.
   std::vector<StoredItem> PageItems;
   uint64_t FirstPageRevision = 0;
-  // The copy: instances by key, and the newest version.
+  // The copy: instances by key. The newest version is in ConfigDoc.
   std::map<std::string, ListedInstance> Instances;
-  // The latest start seen under each key, where the platform tells starts
-  // apart.
+  // The latest incarnation seen under each key, if the platform reports
+  // incarnations.
   std::map<std::string, uint64_t> LatestIncarnation;
-  // Keys of the items that evacuate a data centre.
+  // Keys of the items that mark a data centre as evacuated.
   std::set<std::string> EvacuationKeys;
   // Keys of evacuations that were seen to be removed in the current era.
   std::set<std::string> RemovedEvacuationKeys;
@@ -148,10 +157,12 @@
   uint64_t ConfigRevision = 0;
   std::optional<StoredItem> PendingConfig;
   DocumentPtr ConfigDoc;
+  // The list of each data centre as it was published last.
   std::map<std::string, DocumentPtr> ListDocs;
   bool Failing = false;
   unsigned Failures = 0;
-  // Until then missing instances are kept, as their entries may have lapsed.
+  // Until then missing instances are kept, as their entries may have expired
+  // during an outage.
   TimePoint InstanceGraceEnd;
   // Until then drains and evacuations missing from a restored store are kept.
   TimePoint RestoreGraceEnd;
@@ -160,6 +171,8 @@
   bool EvacuationsIncludeKept = false;
   TokenBucket Budget;
   uint64_t Reads = 0;
+  // Incremented to drop the answers to all earlier requests. Callbacks hold a
+  // weak pointer, so answers after this object's destruction are dropped too.
   std::shared_ptr<uint64_t> Epoch = std::make_shared<uint64_t>(0);
 };
 
