--- a/src/reading/SplitReader.h
+++ b/src/reading/SplitReader.h
@@ -3,17 +3,17 @@
 
 #include "reading/StoreReader.h"
 
-// A SplitReader reads a key-value store with one watch for everything, and with
-// one each for the configuration and the instances once the configuration is
-// large.
+// A SplitReader is the DocumentSource that a node uses for a key-value store.
+// It watches everything with one watch while the configuration is small, and
+// the configuration and the instances with one watch each once it is large.
 //
-// A watch brings the whole configuration at each change. Half a megabyte takes
-// a second on a link of 5 Mbit/s, and what a shared watch has to say of the
-// instances waits behind it: an upstream that leaves went on getting calls for
-// two and a half seconds. Two calls cost more than one, so a small
-// configuration shares.
+// A watch delivers the whole configuration at each change. Half a megabyte
+// takes a second on a link of 5 Mbit/s, and with a shared watch the changes of
+// instances wait behind it: a leaving upstream still received calls for two and
+// a half seconds. Two watches cost more than one, so a small configuration
+// shares one with the instances.
 //
-//   SplitReader Read(Options, Store, Contents, Hooks, DataCentres, Seed);
+//   SplitReader Read(Options, Store, Layout, Hooks, DataCentres, Seed);
 //   Read.tick(Now, ReadDuty::Watch);     // a few times a second
 
 namespace hickorylift {
@@ -22,27 +22,29 @@
 public:
   struct Options {
     StoreReader::Options ReaderOptions;
-    /// Bytes of configuration from which on it has a watch of its own: 0.2 s
-    /// of a link of 5 Mbit/s.
+    /// A configuration of this size or more gets its own watch. The default
+    /// takes 0.2 s on a link of 5 Mbit/s.
     size_t SplitThresholdBytes = 128 * 1024;
   };
 
-  SplitReader(const Options &Opts, KeyValueStore &From,
-              const StoreLayout &Contents, const SourceHooks &Hooks,
+  SplitReader(const Options &Opts, KeyValueStore &Store,
+              const StoreLayout &Layout, const SourceHooks &Hooks,
               const std::vector<std::string> &DataCentres, uint64_t Seed);
 
-  void tick(TimePoint Now, ReadDuty Wanted) override;
+  void tick(TimePoint Now, ReadDuty Duty) override;
   uint64_t reads() const override;
 
 private:
   bool isLarge() const;
-  SourceHooks partHooks(uint64_t &CompleteAt);
+  SourceHooks partHooks(uint64_t &CompleteRevision);
 
   Options Opts;
   SourceHooks Hook;
-  // Up to which revision each of the two has published everything.
+  // The revisions up to which ConfigReader and ListReader have published
+  // everything.
   uint64_t ConfigCompleteAt = 0;
   uint64_t ListsCompleteAt = 0;
+  // Reads everything until the split, the other two read after it.
   StoreReader CombinedReader;
   StoreReader ConfigReader;
   StoreReader ListReader;
