--- a/src/reading/StoreFixture.h
+++ b/src/reading/StoreFixture.h
@@ -8,15 +8,15 @@
 #include <deque>
 #include <map>
 
-// Store contents for tests, and an in-memory store that can be restored from a
+// A store layout for tests, and an in-memory store that can be restored from a
 // copy of itself.
 //
 //   RestorableStore Store;
 //   Store.put("c", "1");
-//   Store.copy();
+//   Store.saveCopy();
 //   Store.put("c", "2");
-//   Store.restore();                       // back to version 1, in the next
-//   era Store.answer(Now);                     // completes pending requests
+//   Store.restore();       // back to version 1, in the next era
+//   Store.answer(Now);     // completes pending requests
 
 namespace hickorylift {
 
@@ -24,39 +24,43 @@
   return {"i/" + Name, "live", Revision, Revision};
 }
 
+/// Layout of the test store: the version under "c", instances under "i/" and
+/// evacuations under "c-e/". The value of an instance is its state.
 inline StoreLayout testLayout() {
-  StoreLayout Out;
-  Out.ConfigKey = "c";
-  Out.InstancePrefix = "i/";
-  Out.EvacuationPrefix = "c-e/";
-  Out.ReadConfig = [](const StoredItem &Item) -> Result<ParsedConfig> {
+  StoreLayout Layout;
+  Layout.ConfigKey = "c";
+  Layout.InstancePrefix = "i/";
+  Layout.EvacuationPrefix = "c-e/";
+  Layout.ReadConfig = [](const StoredItem &Item) -> Result<ParsedConfig> {
     if (Item.Value == "bad")
       return Error{Errc::Invalid, "read-item", "store", "bad"};
     return ParsedConfig{std::stoull(Item.Value), {}};
   };
-  Out.ReadInstance = [](const StoredItem &Item) -> Result<Instance> {
-    Instance One;
+  Layout.ReadInstance = [](const StoredItem &Item) -> Result<Instance> {
+    Instance Parsed;
     // A suffix after '+' distinguishes two entries with the same name.
     std::string Name = Item.Key.substr(2);
-    One.Name = Name.substr(0, Name.find('+'));
-    One.Upstream = Name;
-    One.DataCentre = "north";
-    One.Service = "a";
-    One.Node = "127.0.0.1:1";
-    One.Operator = "127.0.0.1:2";
+    Parsed.Name = Name.substr(0, Name.find('+'));
+    Parsed.Upstream = Name;
+    Parsed.DataCentre = "north";
+    Parsed.Service = "a";
+    Parsed.Node = "127.0.0.1:1";
+    Parsed.Operator = "127.0.0.1:2";
     // "leaving", optionally preceded by the incarnation.
-    One.Leaving = Item.Value.find("leaving") != std::string::npos;
+    Parsed.Leaving = Item.Value.find("leaving") != std::string::npos;
     // "cold" followed by the remaining milliseconds.
     if (size_t At = Item.Value.find("cold "); At != std::string::npos)
-      One.ColdLeft = Millis(std::stoll(Item.Value.substr(At + 5)));
+      Parsed.ColdLeft = Millis(std::stoll(Item.Value.substr(At + 5)));
     if (std::isdigit(static_cast<unsigned char>(Item.Value.front())))
-      One.Incarnation = std::stoull(Item.Value);
+      Parsed.Incarnation = std::stoull(Item.Value);
     if (Item.Value == "rubbish")
       return Error{Errc::Invalid, "read-item", "store", Item.Key};
-    return One;
+    return Parsed;
   };
-  Out.InstanceKey = [](const Instance &One) { return "i/" + One.Upstream; };
-  return Out;
+  Layout.InstanceKey = [](const Instance &Listed) {
+    return "i/" + Listed.Upstream;
+  };
+  return Layout;
 }
 
 /// In-memory store that answers requests only in answer().
@@ -67,12 +71,12 @@
 
   void put(const std::string &Key, const std::string &Value) {
     ++this->Current.Revision;
-    auto [At, New] = this->Current.Items.try_emplace(Key);
-    StoredItem &Item = At->second;
+    auto [Position, IsNew] = this->Current.Items.try_emplace(Key);
+    StoredItem &Item = Position->second;
     Item.Key = Key;
     Item.Value = Value;
     Item.Revision = this->Current.Revision;
-    if (New)
+    if (IsNew)
       Item.CreatedRevision = this->Current.Revision;
     this->Current.History.push_back({Key, this->Current.Revision, Item});
   }
@@ -86,10 +90,10 @@
 
   void saveCopy() { this->SavedCopy = this->Current; }
 
-  /// Returns to the last copy in the next era and closes pending watches.
+  /// Returns to the saved copy in the next era and closes pending watches.
   void restore() {
-    for (PendingWatch &One : this->PendingWatches)
-      One.Closed = true;
+    for (PendingWatch &Pending : this->PendingWatches)
+      Pending.Closed = true;
     this->Current = this->SavedCopy;
     if (this->Era)
       ++*this->Era;
@@ -105,16 +109,16 @@
   }
 
   void watch(const std::string &Prefix, uint64_t After, Millis Wait,
-             TimePoint Asked, ChangesCallback Done) override {
+             TimePoint AskedAt, ChangesCallback Done) override {
     this->PendingWatches.push_back(
-        {Prefix, After, Asked + Wait, std::move(Done)});
+        {Prefix, After, AskedAt + Wait, std::move(Done)});
   }
 
-  void answer(TimePoint At) {
+  void answer(TimePoint Now) {
     for (auto &[Prefix, Done] : std::exchange(this->PendingRanges, {}))
-      Done(this->page(Prefix), At);
-    for (PendingWatch &One : std::exchange(this->PendingWatches, {}))
-      this->answer(One, At);
+      Done(this->page(Prefix), Now);
+    for (PendingWatch &Pending : std::exchange(this->PendingWatches, {}))
+      this->answer(Pending, Now);
   }
 
 private:
@@ -137,30 +141,32 @@
   }
 
   ItemPage page(const std::string &Prefix) const {
-    ItemPage Out;
-    Out.Revision = this->Current.Revision;
-    Out.Era = this->Era;
+    ItemPage Page;
+    Page.Revision = this->Current.Revision;
+    Page.Era = this->Era;
     for (const auto &[Key, Item] : this->Current.Items)
       if (startsWith(Key, Prefix))
-        Out.Items.push_back(Item);
-    return Out;
+        Page.Items.push_back(Item);
+    return Page;
   }
 
-  void answer(PendingWatch &Of, TimePoint At) {
-    if (Of.Closed)
-      return Of.Done(Error{Errc::Closed, "store-watch", "store", "closed"}, At);
-    if (Of.After > this->Current.Revision)
-      return Of.Done(Error{Errc::Stale, "store-watch", "store", "history gone"},
-                     At);
-    ItemChanges Out;
-    Out.Revision = this->Current.Revision;
-    Out.Era = this->Era;
-    for (const ItemChange &One : this->Current.History)
-      if (One.Revision > Of.After && startsWith(One.Key, Of.Prefix))
-        Out.Changes.push_back(One);
-    if (Out.Changes.empty() && At < Of.Until)
-      return this->PendingWatches.push_back(std::move(Of));
-    Of.Done(Out, At);
+  void answer(PendingWatch &Pending, TimePoint Now) {
+    if (Pending.Closed)
+      return Pending.Done(Error{Errc::Closed, "store-watch", "store", "closed"},
+                          Now);
+    if (Pending.After > this->Current.Revision)
+      return Pending.Done(
+          Error{Errc::Stale, "store-watch", "store", "history gone"}, Now);
+    ItemChanges Answer;
+    Answer.Revision = this->Current.Revision;
+    Answer.Era = this->Era;
+    for (const ItemChange &Change : this->Current.History)
+      if (Change.Revision > Pending.After &&
+          startsWith(Change.Key, Pending.Prefix))
+        Answer.Changes.push_back(Change);
+    if (Answer.Changes.empty() && Now < Pending.Until)
+      return this->PendingWatches.push_back(std::move(Pending));
+    Pending.Done(Answer, Now);
   }
 
   State Current;
