--- a/src/reading/StoreRestoreTest.cpp
+++ b/src/reading/StoreRestoreTest.cpp
@@ -32,25 +32,29 @@
   }
 
   SourceHooks sourceHooks() {
-    SourceHooks Out;
-    Out.Publish = [this](const std::string &Topic, const DocumentPtr &Doc,
-                         TimePoint Now) {
+    SourceHooks Hooks;
+    Hooks.Publish = [this](const std::string &Topic, const DocumentPtr &Doc,
+                           TimePoint Now) {
       this->Spread.publish(Topic, Doc, Now);
     };
-    Out.Confirm = [this](const std::string &Topic, uint64_t Version,
-                         uint64_t Revision, TimePoint AskedAt) {
+    Hooks.Confirm = [this](const std::string &Topic, uint64_t Version,
+                           uint64_t Revision, TimePoint AskedAt) {
       this->Spread.confirm(Topic, Version, Revision, AskedAt);
     };
-    Out.CurrentDocument = [this](const std::string &Topic) {
+    Hooks.CurrentDocument = [this](const std::string &Topic) {
       return this->Spread.held(Topic);
     };
-    Out.ReportComplete = [this](uint64_t At) { this->Spread.complete(At); };
-    Out.CompleteRevision = [this] { return this->Spread.completeAt(); };
-    Out.Failed = [](const Error &, TimePoint) {};
-    Out.EraObserved = [this](uint64_t Era) { this->Spread.meetEra(Era); };
-    Out.EarliestEra = [this] { return this->Spread.firstEra(); };
-    Out.Restored = [this](uint64_t, uint64_t, TimePoint) { ++this->Restores; };
-    return Out;
+    Hooks.ReportComplete = [this](uint64_t Revision) {
+      this->Spread.complete(Revision);
+    };
+    Hooks.CompleteRevision = [this] { return this->Spread.completeAt(); };
+    Hooks.Failed = [](const Error &, TimePoint) {};
+    Hooks.EraObserved = [this](uint64_t Era) { this->Spread.meetEra(Era); };
+    Hooks.EarliestEra = [this] { return this->Spread.firstEra(); };
+    Hooks.Restored = [this](uint64_t, uint64_t, TimePoint) {
+      ++this->RestoreReports;
+    };
+    return Hooks;
   }
 
   uint64_t version() const {
@@ -63,8 +67,8 @@
     auto Found = List->entries().find(Name);
     if (Found == List->entries().end())
       return "none";
-    bool Leaves = Found->second.Bytes->find("leaving") != std::string::npos;
-    return Leaves ? "leaving" : "live";
+    bool IsLeaving = Found->second.Bytes->find("leaving") != std::string::npos;
+    return IsLeaving ? "leaving" : "live";
   }
 
   bool evacuates(const std::string &DataCentre) const {
@@ -74,18 +78,18 @@
   Spreader Spread;
   std::unique_ptr<StoreReader> Read;
   ReadDuty Duty = ReadDuty::Watch;
-  unsigned Restores = 0;
+  unsigned RestoreReports = 0;
 };
 
 /// A store and two nodes that can be linked.
-struct Restores {
+struct RestoreFixture {
   RestorableStore Store;
   std::unique_ptr<ReadingNode> Nodes[2];
   std::vector<std::pair<int, wire::SpreadFrameT>> Frames;
   bool Linked = false;
   TimePoint Now = TimePoint(std::chrono::hours(1));
 
-  Restores() {
+  RestoreFixture() {
     this->Store.put("c", "1");
     this->Store.put("i/x", "live");
     this->Store.put("i/y", "live");
@@ -93,14 +97,14 @@
     this->run(Millis(1000));
   }
 
-  void start(int Which) {
+  void start(int Index) {
     Spreader::Hooks Hooks;
-    Hooks.Send = [this, Which](LinkId, const wire::SpreadFrameT &Frame) {
-      this->Frames.emplace_back(1 - Which, Frame);
+    Hooks.Send = [this, Index](LinkId, const wire::SpreadFrameT &Frame) {
+      this->Frames.emplace_back(1 - Index, Frame);
     };
     Hooks.Accept = [](const Spreader::Arrival &, TimePoint) { return true; };
     Hooks.Condemn = [](LinkId, const Error &) {};
-    this->Nodes[Which] = std::make_unique<ReadingNode>(this->Store, Hooks);
+    this->Nodes[Index] = std::make_unique<ReadingNode>(this->Store, Hooks);
   }
 
   void link() {
@@ -116,8 +120,8 @@
       Node->Spread.linkDown(PeerLink);
   }
 
-  void run(Millis Length) {
-    for (TimePoint End = this->Now + Length; this->Now < End;
+  void run(Millis Duration) {
+    for (TimePoint End = this->Now + Duration; this->Now < End;
          this->Now += Step) {
       this->Store.answer(this->Now);
       for (auto &Node : this->Nodes) {
@@ -145,9 +149,9 @@
       this->Store.put("i/x", "live");
   }
 
-  /// Restores a copy made before this many writes and a few more. The last
-  /// ones change the lists and evacuations, so that these are published near
-  /// the highest revision.
+  /// Makes a copy, this many writes and a few more, and restores the copy. The
+  /// last writes change the lists and evacuations, so that these are published
+  /// near the highest revision.
   void loseWrites(unsigned Writes) {
     this->Store.saveCopy();
     this->advanceRevision(Writes);
@@ -160,17 +164,18 @@
     this->Store.restore();
   }
 
-  ReadingNode &node(int Which = 0) { return *this->Nodes[Which]; }
+  ReadingNode &node(int Index = 0) { return *this->Nodes[Index]; }
 };
 
-/// How many writes a restore loses, and how many follow before the next read.
+/// The number of writes that a restore loses, and of those that follow before
+/// the next read.
 struct RestoreCase {
-  const char *What;
+  const char *Name;
   unsigned LostWrites;
   unsigned NewWrites;
 };
-std::ostream &operator<<(std::ostream &To, const RestoreCase &Of) {
-  return To << Of.What;
+std::ostream &operator<<(std::ostream &Out, const RestoreCase &Row) {
+  return Out << Row.Name;
 }
 
 const RestoreCase RestoreCases[] = {
@@ -184,22 +189,22 @@
 BOOST_AUTO_TEST_SUITE(StoreRestores)
 
 // Guards against ignoring a new version because of a reused revision.
-BOOST_DATA_TEST_CASE(NewVersionsAreTaken, data::make(RestoreCases), Row) {
-  Restores At;
-  At.Store.saveCopy();
-  At.advanceRevision(Row.LostWrites);
-  At.Store.put("c", "2");
-  At.run(Millis(1000));
-  BOOST_TEST(At.node().version() == 2u);
-  At.Store.restore();
-  At.advanceRevision(Row.NewWrites);
-  At.Store.put("c", "3");
-  At.run(Millis(1000));
-  BOOST_TEST(At.node().version() == 3u);
+BOOST_DATA_TEST_CASE(NewVersionsAreAccepted, data::make(RestoreCases), Row) {
+  RestoreFixture Test;
+  Test.Store.saveCopy();
+  Test.advanceRevision(Row.LostWrites);
+  Test.Store.put("c", "2");
+  Test.run(Millis(1000));
+  BOOST_TEST(Test.node().version() == 2u);
+  Test.Store.restore();
+  Test.advanceRevision(Row.NewWrites);
+  Test.Store.put("c", "3");
+  Test.run(Millis(1000));
+  BOOST_TEST(Test.node().version() == 3u);
 }
 
-// Guards against replacing the version in force by an older one from the copy.
-BOOST_FIXTURE_TEST_CASE(OlderVersionsAreNotTaken, Restores) {
+// Guards against replacing the active version by an older one from the copy.
+BOOST_FIXTURE_TEST_CASE(OlderVersionsAreNotAccepted, RestoreFixture) {
   this->Store.saveCopy();
   this->Store.put("c", "2");
   this->run(Millis(1000));
@@ -209,43 +214,43 @@
 }
 
 // Guards against missing a drain after a restore.
-BOOST_DATA_TEST_CASE(DrainsAreTaken, data::make(RestoreCases), Row) {
-  Restores At;
-  At.loseWrites(Row.LostWrites);
-  At.advanceRevision(Row.NewWrites);
-  At.Store.put("i/y", "leaving");
-  At.run(Millis(1000));
-  BOOST_TEST(At.node().stateOf("y") == "leaving");
+BOOST_DATA_TEST_CASE(DrainsAreAccepted, data::make(RestoreCases), Row) {
+  RestoreFixture Test;
+  Test.loseWrites(Row.LostWrites);
+  Test.advanceRevision(Row.NewWrites);
+  Test.Store.put("i/y", "leaving");
+  Test.run(Millis(1000));
+  BOOST_TEST(Test.node().stateOf("y") == "leaving");
 }
 
 // Guards against missing added or removed instances after a restore.
-BOOST_DATA_TEST_CASE(AddedAndRemovedInstancesAreTaken, data::make(RestoreCases),
-                     Row) {
-  Restores At;
-  At.loseWrites(Row.LostWrites);
-  At.advanceRevision(Row.NewWrites);
-  At.Store.put("i/z", "live");
-  At.Store.remove("i/y");
-  At.run(Millis(4000));
-  BOOST_TEST(At.node().stateOf("z") == "live");
-  BOOST_TEST(At.node().stateOf("y") == "none");
+BOOST_DATA_TEST_CASE(AddedAndRemovedInstancesAreAccepted,
+                     data::make(RestoreCases), Row) {
+  RestoreFixture Test;
+  Test.loseWrites(Row.LostWrites);
+  Test.advanceRevision(Row.NewWrites);
+  Test.Store.put("i/z", "live");
+  Test.Store.remove("i/y");
+  Test.run(Millis(4000));
+  BOOST_TEST(Test.node().stateOf("z") == "live");
+  BOOST_TEST(Test.node().stateOf("y") == "none");
 }
 
 // Guards against missing the start or end of an evacuation after a restore.
-BOOST_DATA_TEST_CASE(EvacuationsAreTaken, data::make(RestoreCases), Row) {
-  Restores At;
-  At.loseWrites(Row.LostWrites);
-  At.advanceRevision(Row.NewWrites);
-  At.Store.put("c-e/south", "{}");
-  At.run(Millis(1000));
-  BOOST_TEST(At.node().evacuates("south"));
-  At.Store.remove("c-e/south");
-  At.run(Millis(1000));
-  BOOST_TEST(!At.node().evacuates("south"));
+BOOST_DATA_TEST_CASE(EvacuationsAreAccepted, data::make(RestoreCases), Row) {
+  RestoreFixture Test;
+  Test.loseWrites(Row.LostWrites);
+  Test.advanceRevision(Row.NewWrites);
+  Test.Store.put("c-e/south", "{}");
+  Test.run(Millis(1000));
+  BOOST_TEST(Test.node().evacuates("south"));
+  Test.Store.remove("c-e/south");
+  Test.run(Millis(1000));
+  BOOST_TEST(!Test.node().evacuates("south"));
 }
 
 // Guards against nodes without read duty refusing documents of the new era.
-BOOST_FIXTURE_TEST_CASE(NodesWithoutReadDutyAreUpdated, Restores) {
+BOOST_FIXTURE_TEST_CASE(NodesWithoutReadDutyAreUpdated, RestoreFixture) {
   this->start(1);
   this->node(1).Duty = ReadDuty::None;
   this->link();
@@ -261,7 +266,7 @@
 
 // Guards against lists of an earlier era spreading again from a node that was
 // disconnected during the restore.
-BOOST_FIXTURE_TEST_CASE(ListsOfEarlierErasDoNotSpreadAgain, Restores) {
+BOOST_FIXTURE_TEST_CASE(ListsOfEarlierErasDoNotSpreadAgain, RestoreFixture) {
   this->start(1);
   this->node(1).Duty = ReadDuty::None;
   this->link();
@@ -277,9 +282,10 @@
     BOOST_TEST(Node->stateOf("y") == "leaving");
 }
 
-// Guards against conflicting places between a node started after the restore
-// and one that knows the earlier era.
-BOOST_FIXTURE_TEST_CASE(NodesStartedAfterARestoreAgreeWithOthers, Restores) {
+// Guards against nodes disagreeing on the order of documents if one of them was
+// started after the restore and the other one knows the earlier era.
+BOOST_FIXTURE_TEST_CASE(NodesStartedAfterARestoreAgreeWithOthers,
+                        RestoreFixture) {
   this->loseWrites(40);
   this->run(Millis(1000));
   this->start(1);
@@ -298,7 +304,7 @@
 }
 
 // Guards against a reader resuming from a revision of an earlier era.
-BOOST_FIXTURE_TEST_CASE(NewReadersDoNotResumeFromEarlierEras, Restores) {
+BOOST_FIXTURE_TEST_CASE(NewReadersDoNotResumeFromEarlierEras, RestoreFixture) {
   this->start(1);
   this->node(1).Duty = ReadDuty::None;
   this->link();
@@ -315,7 +321,8 @@
   BOOST_TEST(this->node(1).stateOf("y") == "leaving");
 }
 
-BOOST_FIXTURE_TEST_CASE(SecondRestoresAreHandled, Restores) {
+// Guards against detecting only the first of several restores.
+BOOST_FIXTURE_TEST_CASE(SecondRestoresAreHandled, RestoreFixture) {
   this->loseWrites(40);
   this->run(Millis(100));
   this->loseWrites(30);
@@ -324,20 +331,20 @@
   this->run(Millis(3000));
   BOOST_TEST(this->node().version() == 3u);
   BOOST_TEST(this->node().stateOf("y") == "leaving");
-  BOOST_TEST(this->node().Restores == 2u);
+  BOOST_TEST(this->node().RestoreReports == 2u);
 }
 
 // Guards against missing a version written after the restore but before the
 // configuration watch, which then waits for its full timeout.
-BOOST_FIXTURE_TEST_CASE(ConfigReaderLearnsEraFromListReader, Restores) {
+BOOST_FIXTURE_TEST_CASE(ConfigReaderTakesEraFromListReader, RestoreFixture) {
   SplitReader::Options Opts;
   Opts.ReaderOptions.StartJitter = Millis(0);
   Opts.SplitThresholdBytes = 0;
   SplitReader Reader(Opts, this->Store, testLayout(),
                      this->node().sourceHooks(), {"north"}, 7);
   this->node().Duty = ReadDuty::None;
-  auto Run = [&](Millis Length) {
-    for (TimePoint End = this->Now + Length; this->Now < End;
+  auto Run = [&](Millis Duration) {
+    for (TimePoint End = this->Now + Duration; this->Now < End;
          this->Now += Step) {
       Reader.tick(this->Now, ReadDuty::Watch);
       this->Store.answer(this->Now);
@@ -358,7 +365,7 @@
 }
 
 // Guards against applying an answer that was requested before a restore.
-BOOST_FIXTURE_TEST_CASE(AnswersOfEarlierErasAreDiscarded, Restores) {
+BOOST_FIXTURE_TEST_CASE(AnswersOfEarlierErasAreDiscarded, RestoreFixture) {
   this->loseWrites(40);
   this->run(Millis(4000));
   this->Store.Era = 1;
@@ -373,7 +380,7 @@
 }
 
 // Guards against ignoring versions from an older store that reports no era.
-BOOST_FIXTURE_TEST_CASE(VersionsAreTakenIfNoEraIsReported, Restores) {
+BOOST_FIXTURE_TEST_CASE(VersionsAreAcceptedIfNoEraIsReported, RestoreFixture) {
   this->Store.Era.reset();
   this->start(0);
   this->run(Millis(1000));
@@ -389,7 +396,7 @@
 
 // Guards against stamps that are incompatible with earlier builds while the
 // store has not been restored.
-BOOST_FIXTURE_TEST_CASE(StampsEqualRevisionsWithoutARestore, Restores) {
+BOOST_FIXTURE_TEST_CASE(StampsEqualRevisionsWithoutARestore, RestoreFixture) {
   this->Store.Era = 17;
   this->start(0);
   this->run(Millis(1000));
@@ -404,8 +411,8 @@
 
 BOOST_AUTO_TEST_SUITE(RefusedDocuments)
 
-// A neighbour that announces documents and disconnects before sending them.
-struct DisconnectedNeighbour : Restores {
+/// A neighbour that announces documents and disconnects before sending them.
+struct DisconnectedNeighbour : RestoreFixture {
   void announce(const std::string &Topic) {
     wire::AnnounceT Frame;
     Frame.topic = Topic;
@@ -415,7 +422,8 @@
   }
 };
 
-// Guards against never republishing a document that was refused.
+// Guards against never publishing a document again after the spreader refused
+// it because a neighbour had announced a newer one.
 BOOST_FIXTURE_TEST_CASE(ArePublishedAgain, DisconnectedNeighbour) {
   this->Nodes[0]->Spread.linkUp(PeerLink, "peer", /*Eager=*/true, this->Now);
   for (const char *Topic : {ConfigTopic, North, EvacuationTopic})
@@ -438,7 +446,7 @@
 
 // Guards against dropping a live upstream that was added after the copy was
 // made.
-BOOST_FIXTURE_TEST_CASE(MissingInstancesAreWaitedFor, Restores) {
+BOOST_FIXTURE_TEST_CASE(MissingInstancesAreKeptForAWhile, RestoreFixture) {
   this->Store.saveCopy();
   this->Store.put("i/w", "live");
   this->Store.put("i/z", "live");
@@ -453,7 +461,7 @@
 }
 
 // Guards against calls to an upstream whose drain is missing from the copy.
-BOOST_FIXTURE_TEST_CASE(LostDrainsHoldForAWhile, Restores) {
+BOOST_FIXTURE_TEST_CASE(LostDrainsAreKeptForAWhile, RestoreFixture) {
   this->Store.saveCopy();
   this->Store.put("i/x", "leaving");
   this->Store.put("i/y", "leaving");
@@ -470,7 +478,7 @@
 
 // Guards against calls to a data centre whose evacuation is missing from the
 // copy.
-BOOST_FIXTURE_TEST_CASE(LostEvacuationsHoldForAWhile, Restores) {
+BOOST_FIXTURE_TEST_CASE(LostEvacuationsAreKeptForAWhile, RestoreFixture) {
   this->Store.saveCopy();
   this->Store.put("c-e/south", "{}");
   this->Store.put("c-e/west", "{}");
@@ -486,7 +494,7 @@
 }
 
 // Guards against delaying a drain because another instance is missing.
-BOOST_FIXTURE_TEST_CASE(NewsIsNotHeldBackByWhatIsMissing, Restores) {
+BOOST_FIXTURE_TEST_CASE(MissingInstancesDoNotDelayChanges, RestoreFixture) {
   this->Store.saveCopy();
   this->Store.put("i/z", "live");
   this->run(Millis(1000));
