--- a/src/reading/PlatformReader.cpp
+++ b/src/reading/PlatformReader.cpp
@@ -156,13 +156,13 @@
 
 // A change of a list costs one read, whichever node watches. So a spare reader
 // watches like any other, and ListForOthers is the same as List.
-void PlatformReader::tick(TimePoint Now, Duty Wanted) {
-  if (Wanted == Duty::Spare)
-    Wanted = Duty::Watch;
-  if (Wanted == Duty::ListForOthers)
-    Wanted = Duty::List;
-  if (Wanted != this->CurrentDuty) {
-    this->CurrentDuty = Wanted;
+void PlatformReader::tick(TimePoint Now, Duty NewDuty) {
+  if (NewDuty == Duty::Spare)
+    NewDuty = Duty::Watch;
+  if (NewDuty == Duty::ListForOthers)
+    NewDuty = Duty::List;
+  if (NewDuty != this->CurrentDuty) {
+    this->CurrentDuty = NewDuty;
     ++*this->Epoch;
     this->Busy = false;
     this->InProgress.reset();
--- a/src/reading/PlatformReader.h
+++ b/src/reading/PlatformReader.h
@@ -87,7 +87,7 @@
   PlatformReader(Options Opts, Platform &Source, Hooks Hooks,
                  std::vector<std::string> DataCentres, uint64_t Seed);
 
-  void tick(TimePoint Now, Duty Wanted) override;
+  void tick(TimePoint Now, Duty NewDuty) override;
   uint64_t reads() const override { return this->Reads; }
   Duty duty() const { return this->CurrentDuty; }
 
