--- a/src/control/ControlPlane.cpp
+++ b/src/control/ControlPlane.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-ControlPlane::ControlPlane(Options GivenOpts, const MakeSource &MakeRead,
+ControlPlane::ControlPlane(Options GivenOpts, const SourceFactory &MakeRead,
                            Hooks GivenHooks)
     : Opts(std::move(GivenOpts)), Hook(std::move(GivenHooks)),
       Trail(this->Opts.AuditCapacity, this->Hook.Audit),
--- a/src/reading/HttpPlatform.h
+++ b/src/reading/HttpPlatform.h
@@ -6,8 +6,8 @@
 
 namespace hickorylift {
 
-/// The platform over HTTP, as docs/PLATFORM.md gives it. At most one value of
-/// MaxValueBytes is held for each call under way.
+/// Client of the platform's HTTP protocol, described in docs/PLATFORM.md.
+/// Buffers at most MaxValueBytes for each request in progress.
 class HttpPlatform final : public Platform {
 public:
   struct Options {
@@ -17,19 +17,19 @@
     size_t MaxValueBytes = 1u << 20;
   };
 
-  /// Now gives the time at which an answer is handed on; the loop's clock.
+  /// Now returns the event loop's time, which is passed to the callbacks.
   HttpPlatform(const Options &Opts, std::function<TimePoint()> Now);
 
-  void get(const std::string &Key, TimePoint Now, GotValue Done) override;
+  void get(const std::string &Key, TimePoint Now, ValueCallback Done) override;
   void watch(const std::vector<std::string> &Keys, uint64_t After, Millis Wait,
-             TimePoint Now, GotChanges Done) override;
+             TimePoint Now, ChangesCallback Done) override;
 
 private:
-  using GotReply =
+  using ReplyCallback =
       std::function<void(Result<std::pair<uint64_t, std::string>>, TimePoint)>;
 
-  void send(const std::string &Path, const std::string &Step, Millis Limit,
-            const GotReply &Done);
+  void send(const std::string &Path, const std::string &Step, Millis Timeout,
+            const ReplyCallback &Done);
 
   Options Opts;
   HttpFetcher Http;
--- a/src/reading/Platform.h
+++ b/src/reading/Platform.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-// Platform is the configuration service that we only read. Another service's
-// protocol is another subclass and nothing else; HttpPlatform.h speaks the
-// protocol of docs/PLATFORM.md.
+// Platform is the interface to the configuration service that we read from and
+// never write to. Support for another service's protocol needs only another
+// subclass; HttpPlatform.h implements the protocol of docs/PLATFORM.md.
 
 namespace hickorylift {
 
@@ -27,22 +27,24 @@
 struct PlatformChanges {
   /// The platform's revision when it answered.
   uint64_t Revision = 0;
-  /// Empty where nothing changed before the wait was over.
+  /// Empty if nothing changed before the wait was over.
   std::vector<PlatformChange> Changed;
 };
 
 class Platform {
 public:
-  using GotValue = std::function<void(Result<PlatformValue>, TimePoint)>;
-  using GotChanges = std::function<void(Result<PlatformChanges>, TimePoint)>;
+  using ValueCallback = std::function<void(Result<PlatformValue>, TimePoint)>;
+  using ChangesCallback =
+      std::function<void(Result<PlatformChanges>, TimePoint)>;
 
   virtual ~Platform() = default;
 
   /// Reads one value. Done is called once, never from within get.
-  virtual void get(const std::string &Key, TimePoint Now, GotValue Done) = 0;
+  virtual void get(const std::string &Key, TimePoint Now,
+                   ValueCallback Done) = 0;
   /// Waits until one of the keys has a revision after After, at most Wait.
   virtual void watch(const std::vector<std::string> &Keys, uint64_t After,
-                     Millis Wait, TimePoint Now, GotChanges Done) = 0;
+                     Millis Wait, TimePoint Now, ChangesCallback Done) = 0;
 };
 
 } // namespace hickorylift
