--- a/scenario/World.cpp
+++ b/scenario/World.cpp
@@ -591,7 +591,7 @@
   Out.Refuse = [this, Find](Entry::CallerId Caller, const Refusal &Why) {
     if (CallState *Of = Find(Caller))
       Of->Why = Why;
-    this->endCall(Caller, Why.What == Outcome::NotRun
+    this->endCall(Caller, Why.CallOutcome == Outcome::NotRun
                               ? CallState::End::NotRun
                               : CallState::End::Unknown);
   };
--- a/scenario/WorldUpstreams.cpp
+++ b/scenario/WorldUpstreams.cpp
@@ -47,8 +47,9 @@
   Out.PauseAnswer = [](const CallId &, bool) {};
   Out.Probe = [this, Name] {
     this->at(Name, UpstreamDelay, [this](NodeState &Of) {
-      Of.Core->gate().upstreamProbed(Of.Upstream.Alive ? UpstreamPort::Open
-                                                       : UpstreamPort::Closed,
+      Of.Core->gate().upstreamProbed(Of.Upstream.Alive
+                                         ? UpstreamProbeResult::Open
+                                         : UpstreamProbeResult::Closed,
                                      this->Now);
     });
   };
@@ -64,8 +65,8 @@
 HealthAnswer World::healthOf(const UpstreamState &Of) const {
   HealthAnswer Out;
   Out.Status = 200;
-  Out.Text = Of.Draining ? "draining" : "ok";
-  Out.ColdLeft =
+  Out.Body = Of.Draining ? "draining" : "ok";
+  Out.ColdTimeLeft =
       toMillis(std::max(Clock::duration::zero(), Of.ColdUntil - this->Now));
   return Out;
 }
--- a/src/calls/Body.h
+++ b/src/calls/Body.h
@@ -39,7 +39,7 @@
 
   /// The next piece to send, or nothing while the window is full or there is
   /// nothing new. The last piece has End set and may be empty.
-  std::optional<Piece> next(size_t MaxBytes) {
+  std::optional<Piece> nextPiece(size_t MaxBytes) {
     uint64_t Held = this->Base + this->Kept.size();
     uint64_t Limit = std::min(Held, this->Credited + this->Window);
     size_t Size =
@@ -78,13 +78,15 @@
   }
 
   /// The body so far, while it is held from its first byte on.
-  std::string_view held() const { return this->Kept; }
+  std::string_view bufferedBytes() const { return this->Kept; }
   /// Whether the body can still be sent from its first byte, to another gate.
   bool replayable() const { return this->Base == 0; }
   /// Bytes in memory; the source should pause when this passes the window.
-  size_t buffered() const { return this->Kept.size(); }
+  size_t bufferedSize() const { return this->Kept.size(); }
   /// Whether everything was sent and consumed.
-  bool done() const { return this->EndSent && this->Credited == this->Sent; }
+  bool isComplete() const {
+    return this->EndSent && this->Credited == this->Sent;
+  }
   bool endSent() const { return this->EndSent; }
 
 private:
--- a/src/calls/CallsTest.cpp
+++ b/src/calls/CallsTest.cpp
@@ -49,7 +49,7 @@
       Given += More;
       if (Given == Sent.size())
         Out.finish();
-      auto Piece = Out.next(100);
+      auto Piece = Out.nextPiece(100);
       if (Piece && Random() % 4 != 0) {
         auto New = In.accept(Piece->Offset, Piece->Bytes, Piece->End);
         BOOST_REQUIRE(New.has_value());
@@ -70,7 +70,7 @@
   BOOST_TEST(!In.accept(5, "late", false).has_value());
   SendStream Out(100);
   Out.append("0123456789");
-  Out.next(100);
+  Out.nextPiece(100);
   Out.credit(1000000); // from a peer that speaks rubbish
   BOOST_TEST(Out.replayable());
   Out.credit(4);
@@ -85,25 +85,25 @@
   SendStream Out(/*Window=*/4, /*Keep=*/8);
   Out.append("0123456789");
   Out.finish();
-  BOOST_TEST(Out.next(100)->Bytes == "0123");
-  BOOST_TEST(!Out.next(100).has_value());
+  BOOST_TEST(Out.nextPiece(100)->Bytes == "0123");
+  BOOST_TEST(!Out.nextPiece(100).has_value());
   Out.credit(3);
-  BOOST_TEST(Out.next(100)->Bytes == "456");
+  BOOST_TEST(Out.nextPiece(100)->Bytes == "456");
   BOOST_TEST(Out.replayable());
   BOOST_REQUIRE(Out.rewind(0));
-  BOOST_TEST(Out.next(100)->Bytes == "0123");
+  BOOST_TEST(Out.nextPiece(100)->Bytes == "0123");
   Out.credit(4);
-  BOOST_TEST(Out.next(2)->Bytes == "45");
-  BOOST_TEST(Out.next(100)->Bytes == "67");
+  BOOST_TEST(Out.nextPiece(2)->Bytes == "45");
+  BOOST_TEST(Out.nextPiece(100)->Bytes == "67");
   Out.credit(8);
   BOOST_TEST(Out.replayable());
-  auto Last = Out.next(100);
+  auto Last = Out.nextPiece(100);
   BOOST_TEST(Last->Bytes == "89");
   BOOST_TEST(Last->End);
-  BOOST_TEST(!Out.done());
+  BOOST_TEST(!Out.isComplete());
   Out.credit(10);
   BOOST_TEST(!Out.replayable());
-  BOOST_TEST(Out.done());
+  BOOST_TEST(Out.isComplete());
 }
 
 BOOST_AUTO_TEST_CASE(ConnectionFieldsStayBehind) {
@@ -122,7 +122,7 @@
   wire::OpenT Open;
   Open.headers = toWire({{"a", "b"}, {"c", "d"}});
   Open.path = "/some/path";
-  std::string Good = encodeFrame(callFrame(std::move(Open)));
+  std::string Good = encodeFrame(makeCallFrame(std::move(Open)));
   int Read = 0;
   for (int Round = 0; Round < 20000; ++Round) {
     std::string Bytes = Good;
--- a/src/calls/Dialect.h
+++ b/src/calls/Dialect.h
@@ -23,15 +23,15 @@
   /// the same one.
   std::string Customer;
   /// The upstream that a request is meant for; any other refuses it with 421.
-  std::string Expect;
+  std::string ExpectedUpstream;
   /// On an answer: the upstream did not run the request.
   std::string NotRun;
   /// On every answer that the upstream itself produced. A success without it
   /// came from somewhere else.
-  std::string Proof;
+  std::string UpstreamMark;
   /// On an answer of the health endpoint: milliseconds that the upstream stays
   /// cold.
-  std::string ColdLeft = "Hickorylift-Cold-Left-Ms";
+  std::string ColdTimeLeft = "Hickorylift-Cold-Left-Ms";
   /// Whether Retry-After may have fractions. HTTP knows whole seconds only.
   bool FractionalRetryAfter = false;
   /// Path at which the platform asks whether callers may be sent here.
--- a/src/calls/Entry.cpp
+++ b/src/calls/Entry.cpp
@@ -33,7 +33,7 @@
   bool NotMade = Why.Reason == "upstream-unreachable" ||
                  Why.Reason == "upstream-timeout" ||
                  Why.Reason == "upstream-gone";
-  return Why.What == Outcome::Unknown ||
+  return Why.CallOutcome == Outcome::Unknown ||
          (Why.Reason.rfind(UpstreamReason, 0) == 0 && !NotMade);
 }
 
@@ -56,9 +56,9 @@
 
 Entry::Entry(Options GivenOpts, Hooks Hooks, const Membership &Fleet)
     : Opts(std::move(GivenOpts)), Hook(std::move(Hooks)), Fleet(Fleet),
-      Choose(this->Opts.Choose, this->Opts.DataCentre, this->Opts.Self,
+      Choose(this->Opts.ChooserOptions, this->Opts.DataCentre, this->Opts.Self,
              this->Opts.Seed),
-      Rank(this->Opts.Rank, this->Opts.Seed) {}
+      Rank(this->Opts.RankOptions, this->Opts.Seed) {}
 
 Refusal Entry::refusal(Outcome What, const std::string &Reason,
                        const std::string &Step, const std::string &Peer) const {
@@ -75,9 +75,9 @@
 
 void Entry::note(const char *What, const Call &Of, const Refusal &Why,
                  TimePoint Now) const {
-  Note Out;
-  Out.What = What;
-  Out.RequestId = findHeader(Of.Head.Headers, this->Opts.Names.RequestId);
+  CallEvent Out;
+  Out.Name = What;
+  Out.RequestId = findHeader(Of.Head.Headers, this->Opts.HeaderNames.RequestId);
   Out.Route = Of.Taken ? Of.Taken->Name : "";
   Out.Gate = Of.Gate.empty() ? Why.Peer : Of.Gate;
   Out.Reason = Why.Reason;
@@ -85,8 +85,8 @@
   Out.Version = Of.Under ? Of.Under->stamp().Version : 0;
   Out.Offers = Of.Offers;
   Out.Age = toMillis(Now - Of.CameAt);
-  Out.Left = toMillis(Of.Deadline - Now);
-  this->Hook.Decided(Out, Now);
+  Out.TimeLeft = toMillis(Of.Deadline - Now);
+  this->Hook.LogEvent(Out, Now);
 }
 
 void Entry::membersChanged(TimePoint) {
@@ -135,9 +135,9 @@
   if (HasBody && !One.Request.finished())
     return {};
   One.Print = fingerprintOf(
-      One.Head, findHeader(One.Head.Headers, this->Opts.Names.Customer),
-      HasBody ? One.Request.held() : std::string_view());
-  return this->Hook.Judge(One.Print, Now);
+      One.Head, findHeader(One.Head.Headers, this->Opts.HeaderNames.Customer),
+      HasBody ? One.Request.bufferedBytes() : std::string_view());
+  return this->Hook.CheckQuarantine(One.Print, Now);
 }
 
 void Entry::route(CallerId Caller, TimePoint Now) {
@@ -164,7 +164,7 @@
                        : Soonest      ? "overload"
                                       : "no-gate";
   Refusal Why = this->refusal(Outcome::NotRun, Reason, "choose-gate", "");
-  Why.RetryAfter = Soonest.value_or(this->Opts.ComeBack);
+  Why.RetryAfter = Soonest.value_or(this->Opts.RetryAfter);
   this->giveUp(Caller, Why, Now);
 }
 
@@ -219,8 +219,8 @@
     Open.idempotent = One.Idempotent;
     Open.idempotency_key = One.Key;
     Open.length = One.Head.Length;
-    One.HoldsBody =
-        One.Gate != this->Opts.Self && One.Head.Length > this->Opts.EagerBytes;
+    One.HoldsBody = One.Gate != this->Opts.Self &&
+                    One.Head.Length > this->Opts.ImmediateBodyBytes;
     Open.holds_body = One.HoldsBody;
     Open.rank = this->Rank.at(Now);
     Open.crashes = static_cast<uint8_t>(One.Crashes);
@@ -234,7 +234,7 @@
   One.Now = State::Sent;
   One.SentAt = Now;
   One.GateIncarnation = this->Links[One.Gate].Incarnation;
-  this->Hook.Send(One.Gate, callFrame(std::move(Open)));
+  this->Hook.Send(One.Gate, makeCallFrame(std::move(Open)));
   if (!Resume)
     this->sendBody(One);
 }
@@ -244,15 +244,15 @@
     return;
   // Two pieces to a window: the credit for one comes while the other is on its
   // way.
-  auto Most =
-      std::min<size_t>(this->Opts.PieceBytes, this->Opts.BodyWindow / 2);
-  while (auto Piece = One.Request.next(Most)) {
+  auto Most = std::min<size_t>(this->Opts.MaxPieceBytes,
+                               this->Opts.BodyWindowBytes / 2);
+  while (auto Piece = One.Request.nextPiece(Most)) {
     wire::DataT Data;
     Data.seq = One.Id.Seq;
     Data.offset = Piece->Offset;
     Data.bytes.assign(Piece->Bytes.begin(), Piece->Bytes.end());
     Data.end = Piece->End;
-    this->Hook.Send(One.Gate, callFrame(std::move(Data)));
+    this->Hook.Send(One.Gate, makeCallFrame(std::move(Data)));
   }
 }
 
@@ -263,7 +263,8 @@
   Call &One = Found->second;
   One.Request.append(Bytes);
   this->sendBody(One);
-  if (!One.RequestPaused && One.Request.buffered() >= this->Opts.Window) {
+  if (!One.RequestPaused &&
+      One.Request.bufferedSize() >= this->Opts.ReadAheadBytes) {
     One.RequestPaused = true;
     this->Hook.PauseRequest(Caller, true);
   }
@@ -286,7 +287,7 @@
   wire::CreditT Credit;
   Credit.seq = Found->second.Id.Seq;
   Credit.consumed = Total;
-  this->Hook.Send(Found->second.Gate, callFrame(Credit));
+  this->Hook.Send(Found->second.Gate, makeCallFrame(Credit));
 }
 
 void Entry::callerGone(CallerId Caller, TimePoint Now) {
@@ -312,7 +313,7 @@
   On.UsedAt = Now;
   // The link is lost, and with it the way to say that nobody waits any more.
   bool MayRun = One.Now == State::Searching;
-  if (MayRun && On.Orphans.size() < this->Opts.MaxOrphans)
+  if (MayRun && On.Orphans.size() < this->Opts.MaxAbandonedCalls)
     On.Orphans.push_back(One.Id.Seq);
   this->BySeq.erase(One.Id.Seq);
   One.Gate.clear();
@@ -322,7 +323,7 @@
   wire::CancelT Cancel;
   Cancel.seq = Seq;
   Cancel.reason = Reason;
-  this->Hook.Send(Gate, callFrame(std::move(Cancel)));
+  this->Hook.Send(Gate, makeCallFrame(std::move(Cancel)));
 }
 
 void Entry::finish(CallerId Caller, TimePoint Now) {
@@ -334,7 +335,7 @@
 
 void Entry::refuse(CallerId Caller, const Refusal &Why) {
   ++this->Counts.RefusedBy[Why.Reason];
-  if (Why.What == Outcome::Unknown)
+  if (Why.CallOutcome == Outcome::Unknown)
     ++this->Counts.Unknown;
   this->Hook.Refuse(Caller, Why);
 }
@@ -345,16 +346,16 @@
   // An idempotent call may have run at an earlier gate, whatever the last one
   // says: "not run" would not be true of it.
   bool RanEarlier =
-      One.LastRefusal && One.LastRefusal->What == Outcome::Unknown;
+      One.LastRefusal && One.LastRefusal->CallOutcome == Outcome::Unknown;
   Refusal Final = RanEarlier ? *One.LastRefusal : Why;
-  bool MayComeBack = Final.What == Outcome::NotRun && Final.Status == 0;
+  bool MayComeBack = Final.CallOutcome == Outcome::NotRun && Final.Status == 0;
   if (MayComeBack && Final.RetryAfter.count() == 0)
-    Final.RetryAfter = this->Opts.ComeBack;
-  const char *What = HaveHead                         ? "call-broken"
-                     : Final.What == Outcome::Unknown ? "call-unknown"
-                                                      : "call-refused";
+    Final.RetryAfter = this->Opts.RetryAfter;
+  const char *What = HaveHead                                ? "call-broken"
+                     : Final.CallOutcome == Outcome::Unknown ? "call-unknown"
+                                                             : "call-refused";
   this->note(What, One, Final, Now);
-  this->Hook.Took(Now - One.CameAt, /*Answered=*/false);
+  this->Hook.CallFinished(Now - One.CameAt, /*Answered=*/false);
   this->dropLeft(One);
   this->leaveGate(Caller, One, !blamesGate(Why), Now);
   this->Calls.erase(Caller);
@@ -366,7 +367,7 @@
 }
 
 bool Entry::mayTryAnother(Call &One, const Refusal &Why, TimePoint Now) {
-  bool Harmless = Why.What == Outcome::NotRun || One.Idempotent ||
+  bool Harmless = Why.CallOutcome == Outcome::NotRun || One.Idempotent ||
                   !this->Opts.Guards.RetryOnlyHarmless;
   bool Reached = reachedUpstream(Why);
   One.Attempts += Reached ? 1 : 0;
@@ -415,14 +416,14 @@
   Call &One = this->Calls.at(Caller);
   ++this->Counts.Retries;
   this->note("call-retried", One, Why, Now);
-  if (!One.LastRefusal || One.LastRefusal->What == Outcome::NotRun)
+  if (!One.LastRefusal || One.LastRefusal->CallOutcome == Outcome::NotRun)
     One.LastRefusal = Why;
   this->leaveGate(Caller, One, !blamesGate(Why), Now);
   One.Request.rewind(0);
   this->route(Caller, Now);
 }
 
-void Entry::paused(TimePoint Now) {
+void Entry::processPaused(TimePoint Now) {
   if (this->Opts.Guards.PauseBarrier)
     this->GraceUntil = Now + this->Opts.PauseGrace;
   // The links were not silent, we were: count from here.
@@ -446,7 +447,7 @@
                Now);
 }
 
-void Entry::abandon(TimePoint Now) {
+void Entry::failRemainingCalls(TimePoint Now) {
   std::vector<CallerId> Left;
   for (const auto &[Caller, One] : this->Calls)
     Left.push_back(Caller);
--- a/src/calls/Entry.h
+++ b/src/calls/Entry.h
@@ -41,7 +41,7 @@
     /// The service of this instance: where requests that enter here come from.
     std::string Service;
     /// Header fields of the deployment.
-    Dialect Names;
+    Dialect HeaderNames;
     /// Must differ from that of every earlier process in this place: gates
     /// remember calls by it.
     uint64_t Incarnation = 1;
@@ -49,15 +49,15 @@
     uint64_t Seed = 1;
     /// Bytes of a request's body that are read ahead of the upstream, at most.
     /// Must be more than GatherBytes.
-    uint64_t Window = 256 * 1024;
+    uint64_t ReadAheadBytes = 256 * 1024;
     /// Bytes of a request's body that may be out without a credit. All that
     /// comes to a gate shares its machine's link, and a call of 1 KB waits
     /// there behind whatever was sent before it: 70 ms behind a body of 60 KB
     /// on a link of 7 Mbit/s. This much still fills such a link while a credit
     /// is on its way.
-    uint64_t BodyWindow = 16 * 1024;
+    uint64_t BodyWindowBytes = 16 * 1024;
     /// Largest piece of a body in one frame.
-    size_t PieceBytes = 32 * 1024;
+    size_t MaxPieceBytes = 32 * 1024;
     /// A body of known length up to this is read whole before the call is
     /// sent: a caller that sends slowly then holds no slot, and the gate gets
     /// the call in one piece.
@@ -65,36 +65,36 @@
     /// A longer body is sent only once the gate has started the call. A refused
     /// call then costs no bytes, and a waiting one no memory at the gate; the
     /// upstream waits for one way there and back.
-    int64_t EagerBytes = 16 * 1024;
+    int64_t ImmediateBodyBytes = 16 * 1024;
     /// Calls at once; more are refused as not run.
     size_t MaxCalls = 4096;
     /// Between two pings of a link that carries calls, and how long one may
     /// stay unanswered before the link is condemned and another is tried.
     Millis PingInterval{500};
-    Millis SilenceLimit{1500};
+    Millis LivenessTimeout{1500};
     /// A link that was condemned for its silence may be one whose way is
     /// narrow. For this long the next to the same gate gets twice the time, and
     /// four times after another: as with a sender's timeout in TCP, a limit
     /// that proved too short must grow, or every link is condemned in turn and
     /// each new one carries all the calls again.
-    Millis SlowMemory{10000};
+    Millis TimeoutBackoffPeriod{10000};
     /// How long a gate that is gone is tried again, to find out what became
     /// of the calls that it had.
-    Millis FindAgain{3000};
+    Millis SearchTimeout{3000};
     /// How long after a pause a call that must not repeat is refused: its
     /// caller may have given up while the bytes lay in the socket.
     Millis PauseGrace{50};
     /// A link on which the gate has not said its name by then is given up.
-    Millis ConnectLimit{2500};
+    Millis ConnectTimeout{2500};
     /// A call that waits for a link to be made goes elsewhere after this. The
     /// way takes milliseconds; a machine that is gone does not answer at all.
-    Millis ConnectPatience{80};
+    Millis MaxConnectWait{80};
     /// Between two attempts to reach a gate again that no call waits for, and
     /// for how long.
-    Millis RedialEvery{250};
-    Millis RedialFor{15000};
+    Millis RedialInterval{250};
+    Millis RedialPeriod{15000};
     /// A link without calls is closed after this.
-    Millis IdleLink{60000};
+    Millis IdleLinkTimeout{60000};
     /// Gates that one call may be offered to in all. Those that refuse it
     /// before it reaches an upstream count here, and not as tries of the
     /// route's own number.
@@ -103,12 +103,12 @@
     /// as many as it takes to hold its request. The last of them is its trial.
     uint32_t MaxCrashes = 3;
     /// Advice to callers that are refused before a gate is chosen.
-    Millis ComeBack{1000};
+    Millis RetryAfter{1000};
     /// When callers of a node that holds no version yet should come back, and
     /// over how long they are spread: a version is in force 0.3 to 0.9 s after
     /// a process has started, and many callers may come once again only.
-    Millis StartComeBack{400};
-    Millis StartSpread{300};
+    Millis StartRetryAfter{400};
+    Millis StartRetryJitter{300};
     /// Retries in reserve for one service, summed over all nodes: each keeps
     /// its part of them. Zero for ten at each node, however many there are.
     double FleetRetryReserve = 0;
@@ -117,20 +117,20 @@
     double MaxRetryPercent = 100;
     /// Calls of one lost link that are cancelled when it is back; those over
     /// this run to their deadlines.
-    size_t MaxOrphans = 1000;
+    size_t MaxAbandonedCalls = 1000;
     /// Of the choice among gates.
-    Chooser::Options Choose;
+    Chooser::Options ChooserOptions;
     /// Of the order of this node's calls at gates that are short of room.
-    TurnRank::Options Rank;
+    TurnRank::Options RankOptions;
     /// All on, but in scenarios.
     Safeguards Guards;
   };
 
   /// A decision about one call, for the log.
-  struct Note {
+  struct CallEvent {
     /// "call-refused", "call-retried", "call-unknown", "call-broken",
     /// "call-searching", "call-resumed", "caller-gone".
-    const char *What = "";
+    const char *Name = "";
     /// As the caller named the attempt; empty where it did not.
     std::string RequestId;
     std::string Route;
@@ -143,14 +143,14 @@
     uint32_t Offers = 0;
     /// Since the request came in, and until its deadline.
     Millis Age{0};
-    Millis Left{0};
+    Millis TimeLeft{0};
   };
 
   struct Hooks {
-    std::function<void(const Note &, TimePoint)> Decided = [](const Note &,
-                                                              TimePoint) {};
+    std::function<void(const CallEvent &, TimePoint)> LogEvent =
+        [](const CallEvent &, TimePoint) {};
     /// A call is over: how long its caller waited, and whether for an answer.
-    std::function<void(Clock::duration, bool Answered)> Took =
+    std::function<void(Clock::duration, bool Answered)> CallFinished =
         [](Clock::duration, bool) {};
     /// Opens a call link to a gate; gateUp or gateDown follows.
     std::function<void(const Instance &)> Connect;
@@ -166,8 +166,10 @@
     /// Stops or resumes reading the request's body from the caller.
     std::function<void(CallerId, bool Paused)> PauseRequest;
     /// What is known against a request.
-    std::function<Quarantine::Verdict(const Fingerprint &, TimePoint)> Judge =
-        [](const Fingerprint &, TimePoint) { return Quarantine::Verdict(); };
+    std::function<Quarantine::Verdict(const Fingerprint &, TimePoint)>
+        CheckQuarantine = [](const Fingerprint &, TimePoint) {
+          return Quarantine::Verdict();
+        };
   };
 
   struct Counters {
@@ -194,7 +196,7 @@
 
   /// Whom a request like this would go to, and why, for operators.
   struct Explanation {
-    const Route *Taken = nullptr;
+    const Route *MatchedRoute = nullptr;
     std::vector<const Instance *> Candidates;
     const Instance *Chosen = nullptr;
     std::string Note;
@@ -203,21 +205,21 @@
   /// Whether the route of such a request says that it may run twice.
   bool isIdempotent(const RequestHead &Head) const;
 
-  void gateUp(const std::string &Gate, TimePoint Now);
+  void linkUp(const std::string &Gate, TimePoint Now);
   /// The link broke or could not be made.
-  void gateDown(const std::string &Gate, TimePoint Now);
-  void frame(const std::string &Gate, const wire::CallFrameT &Frame,
-             TimePoint Now);
+  void linkDown(const std::string &Gate, TimePoint Now);
+  void handleFrame(const std::string &Gate, const wire::CallFrameT &Frame,
+                   TimePoint Now);
 
   /// Refuses new requests from now on; those under way go on.
   void drain() { this->Draining = true; }
   /// Answers all calls that are left, for the process ends: those that were
   /// never sent as not run, the others as unknown.
-  void abandon(TimePoint Now);
+  void failRemainingCalls(TimePoint Now);
   bool idle() const { return this->Calls.empty(); }
-  size_t calls() const { return this->Calls.size(); }
+  size_t callCount() const { return this->Calls.size(); }
   /// This process stood still, and what lies in its sockets is of unknown age.
-  void paused(TimePoint Now);
+  void processPaused(TimePoint Now);
   void tick(TimePoint Now);
   const Counters &counters() const { return this->Counts; }
   const Chooser &chooser() const { return this->Choose; }
@@ -281,7 +283,7 @@
     std::optional<LeftRun> Left;
 
     explicit Call(const Options &Opts)
-        : Request(Opts.BodyWindow, Opts.GatherBytes) {}
+        : Request(Opts.BodyWindowBytes, Opts.GatherBytes) {}
   };
 
   struct Link {
--- a/src/calls/EntryAnswers.cpp
+++ b/src/calls/EntryAnswers.cpp
@@ -27,8 +27,8 @@
              : std::nullopt;
 }
 
-void Entry::frame(const std::string &Gate, const wire::CallFrameT &Frame,
-                  TimePoint Now) {
+void Entry::handleFrame(const std::string &Gate, const wire::CallFrameT &Frame,
+                        TimePoint Now) {
   auto Found = this->Links.find(Gate);
   if (Found == this->Links.end())
     return;
@@ -54,7 +54,7 @@
   if (const auto *Ping = Frame.payload.AsPing()) {
     wire::PongT Pong;
     Pong.nonce = Ping->nonce;
-    this->Hook.Send(Gate, callFrame(std::move(Pong)));
+    this->Hook.Send(Gate, makeCallFrame(std::move(Pong)));
   }
 }
 
@@ -75,7 +75,7 @@
 void Entry::learnWay(const std::string &Gate, const Call &One,
                      const wire::HeadT &Head, TimePoint Now) {
   bool LongBody =
-      One.Head.Length < 0 || One.Head.Length > this->Opts.EagerBytes;
+      One.Head.Length < 0 || One.Head.Length > this->Opts.ImmediateBodyBytes;
   if (One.Now != State::Sent || Head.ran_us == 0)
     return;
   auto Took = std::chrono::duration_cast<Micros>(Now - One.SentAt);
@@ -135,9 +135,9 @@
   wire::CreditT Credit;
   Credit.seq = Found->second.Id.Seq;
   Credit.consumed = Found->second.Response.received();
-  this->Hook.Send(Gate, callFrame(Credit));
+  this->Hook.Send(Gate, makeCallFrame(Credit));
   ++this->Counts.Answered;
-  this->Hook.Took(Now - Found->second.CameAt, /*Answered=*/true);
+  this->Hook.CallFinished(Now - Found->second.CameAt, /*Answered=*/true);
   this->finish(*Caller, Now);
   this->Hook.BodyEnd(*Caller);
 }
@@ -147,8 +147,8 @@
   if (Failed.load)
     this->Choose.learn(Gate, *Failed.load, Now);
   Refusal Why;
-  Why.What = Failed.outcome == wire::Outcome::NotRun ? Outcome::NotRun
-                                                     : Outcome::Unknown;
+  Why.CallOutcome = Failed.outcome == wire::Outcome::NotRun ? Outcome::NotRun
+                                                            : Outcome::Unknown;
   Why.Reason = Failed.reason;
   Why.Step = Failed.step;
   Why.Peer = Failed.peer;
@@ -204,7 +204,8 @@
   Call &One = this->Calls.at(*Caller);
   One.Request.credit(Credit.consumed);
   this->sendBody(One);
-  if (One.RequestPaused && One.Request.buffered() < this->Opts.Window) {
+  if (One.RequestPaused &&
+      One.Request.bufferedSize() < this->Opts.ReadAheadBytes) {
     One.RequestPaused = false;
     this->Hook.PauseRequest(*Caller, false);
   }
--- a/src/calls/EntryLinks.cpp
+++ b/src/calls/EntryLinks.cpp
@@ -32,14 +32,14 @@
   this->Hook.Connect(*Known);
 }
 
-void Entry::gateUp(const std::string &Gate, TimePoint Now) {
+void Entry::linkUp(const std::string &Gate, TimePoint Now) {
   Link &On = this->Links[Gate];
   On.HeardAt = Now;
   On.PingAt.reset();
   wire::CallHelloT Hello;
   Hello.node = this->Opts.Self;
   Hello.incarnation = this->Opts.Incarnation;
-  this->Hook.Send(Gate, callFrame(std::move(Hello)));
+  this->Hook.Send(Gate, makeCallFrame(std::move(Hello)));
 }
 
 void Entry::onHello(const std::string &Gate, Link &On,
@@ -89,7 +89,7 @@
     Of->Left->Asked = true;
     wire::OpenT Open = this->openFrame(*Of, Of->Left->Id, Gate, Now);
     Open.resume = true;
-    this->Hook.Send(Gate, callFrame(std::move(Open)));
+    this->Hook.Send(Gate, makeCallFrame(std::move(Open)));
   }
 }
 
@@ -107,7 +107,7 @@
     Call *Of = this->leftBy(Gate, Seq);
     if (!Of || !std::exchange(Of->Left->Asked, false))
       continue;
-    if (On.Orphans.size() < this->Opts.MaxOrphans)
+    if (On.Orphans.size() < this->Opts.MaxAbandonedCalls)
       On.Orphans.push_back(Seq);
   }
 }
@@ -142,7 +142,7 @@
   this->note("call-resumed", One, Refusal(), Now);
 }
 
-void Entry::gateDown(const std::string &Gate, TimePoint Now) {
+void Entry::linkDown(const std::string &Gate, TimePoint Now) {
   Link &On = this->Links[Gate];
   if (On.ConnectingSince)
     this->Choose.unreachable(Gate, Now);
@@ -241,7 +241,8 @@
     const std::string &Gate = At->first;
     Link &On = At->second;
     this->driveLink(Gate, On, Now);
-    bool Idle = On.Calls.empty() && Now - On.UsedAt > this->Opts.IdleLink;
+    bool Idle =
+        On.Calls.empty() && Now - On.UsedAt > this->Opts.IdleLinkTimeout;
     if (Idle)
       this->Hook.Close(Gate);
     At = Idle ? this->Links.erase(At) : std::next(At);
@@ -250,7 +251,8 @@
 
 // How many times the usual limits this link is given.
 int64_t Entry::patience(const Link &On, TimePoint Now) const {
-  bool Recent = On.SilentAt && Now - *On.SilentAt < this->Opts.SlowMemory;
+  bool Recent =
+      On.SilentAt && Now - *On.SilentAt < this->Opts.TimeoutBackoffPeriod;
   return Recent ? int64_t(1) << std::min(On.Silences, MostDoublings) : 1;
 }
 
@@ -259,13 +261,13 @@
   if (On.Up && !On.Calls.empty() && !On.PingAt && Quiet && Now >= On.NextPing) {
     On.PingAt = Now;
     On.NextPing = Now + this->Opts.PingInterval;
-    this->Hook.Send(Gate, callFrame(wire::PingT()));
+    this->Hook.Send(Gate, makeCallFrame(wire::PingT()));
   }
   int64_t Patience = this->patience(On, Now);
   bool Silent =
-      On.PingAt && Now - *On.PingAt > this->Opts.SilenceLimit * Patience;
-  bool NeverUp = On.ConnectingSince &&
-                 Now - *On.ConnectingSince > this->Opts.ConnectLimit * Patience;
+      On.PingAt && Now - *On.PingAt > this->Opts.LivenessTimeout * Patience;
+  bool NeverUp = On.ConnectingSince && Now - *On.ConnectingSince >
+                                           this->Opts.ConnectTimeout * Patience;
   if (Silent) {
     On.Silences = Patience > 1 ? On.Silences + 1 : 1;
     On.SilentAt = Now;
@@ -273,14 +275,14 @@
   if ((Silent || NeverUp) && this->Opts.Guards.CondemnSilentLinks)
     this->condemn(Gate, On, Now);
   bool Slow = On.ConnectingSince &&
-              Now - *On.ConnectingSince > this->Opts.ConnectPatience * Patience;
+              Now - *On.ConnectingSince > this->Opts.MaxConnectWait * Patience;
   if (Slow)
     this->moveWaiting(Gate, On, Now);
   this->redial(Gate, On, Now);
   bool Wanted = !On.Calls.empty() || !On.Orphans.empty();
   if (On.Up || On.ConnectingSince || !Wanted)
     return;
-  if (On.LostAt && Now - *On.LostAt > this->Opts.FindAgain) {
+  if (On.LostAt && Now - *On.LostAt > this->Opts.SearchTimeout) {
     On.Orphans.clear();
     this->giveUpSearch(Gate, On, Now);
   } else {
@@ -305,8 +307,8 @@
 // that it is back.
 void Entry::redial(const std::string &Gate, Link &On, TimePoint Now) {
   bool Due = On.LostAt && !On.Up && !On.ConnectingSince && On.Calls.empty() &&
-             Now - *On.LostAt < this->Opts.RedialFor &&
-             Now - On.DialledAt >= this->Opts.RedialEvery;
+             Now - *On.LostAt < this->Opts.RedialPeriod &&
+             Now - On.DialledAt >= this->Opts.RedialInterval;
   const Instance *Known = Due ? this->Fleet.find(Gate) : nullptr;
   if (Known && !Known->Leaving)
     this->connect(Gate, On, Now);
--- a/src/calls/EntryRequests.cpp
+++ b/src/calls/EntryRequests.cpp
@@ -43,7 +43,7 @@
     Refusal Why = this->refusal(Outcome::NotRun, Reason, StepEntry, "");
     Why.Status = Status;
     if (!Status)
-      Why.RetryAfter = this->Opts.ComeBack;
+      Why.RetryAfter = this->Opts.RetryAfter;
     return Why;
   };
   if (this->Draining)
@@ -51,9 +51,9 @@
   if (!this->InForce) {
     Refusal Why = NotRun("no-configuration", 0);
     uint64_t Draw =
-        contentHash(findHeader(Head.Headers, this->Opts.Names.RequestId));
-    Why.RetryAfter = this->Opts.StartComeBack +
-                     Millis(Draw % (this->Opts.StartSpread.count() + 1));
+        contentHash(findHeader(Head.Headers, this->Opts.HeaderNames.RequestId));
+    Why.RetryAfter = this->Opts.StartRetryAfter +
+                     Millis(Draw % (this->Opts.StartRetryJitter.count() + 1));
     return Why;
   }
   if (this->Calls.size() >= this->Opts.MaxCalls)
@@ -84,8 +84,9 @@
   One.Under = this->InForce;
   One.Taken = &Taken;
   One.Target = Taken.Parts[this->Turns.next(Taken)].Target;
-  if (!this->Opts.Names.Origin.empty())
-    setHeader(One.Head.Headers, this->Opts.Names.Origin, this->Opts.Service);
+  if (!this->Opts.HeaderNames.Origin.empty())
+    setHeader(One.Head.Headers, this->Opts.HeaderNames.Origin,
+              this->Opts.Service);
   One.Key = findHeader(Head.Headers, KeyHeader);
   One.Class = findHeader(Head.Headers, ClassHeader);
   One.Idempotent = Taken.isIdempotent(Head.Method);
@@ -93,7 +94,7 @@
   Millis Target = Taken.TargetLatency;
   // Unreadable is no deadline: the route's own holds.
   if (std::optional<Millis> Asked =
-          findMillis(Head.Headers, this->Opts.Names.Budget)) {
+          findMillisHeader(Head.Headers, this->Opts.HeaderNames.Budget)) {
     Budget = std::min(Budget, *Asked);
     Target -= std::min(Target, this->Ages.age(Taken.Name, *Asked, Now));
   }
@@ -133,8 +134,8 @@
     Out.Note = "refused here: " + Why->Reason;
     return Out;
   }
-  Out.Taken = this->findRoute(Head);
-  Call One = this->makeCall(Head, *Out.Taken, Now);
+  Out.MatchedRoute = this->findRoute(Head);
+  Call One = this->makeCall(Head, *Out.MatchedRoute, Now);
   if (Head.Length == 0 &&
       this->judge(One, Now).What == Quarantine::Standing::Held) {
     Out.Note = "refused here: quarantined";
--- a/src/calls/EntryTest.cpp
+++ b/src/calls/EntryTest.cpp
@@ -47,12 +47,12 @@
     Opts.Self = "me";
     Opts.DataCentre = "north";
     Opts.Service = "b";
-    Opts.Names.RequestId = "Request-Id";
-    Opts.Names.Origin = "Origin";
+    Opts.HeaderNames.RequestId = "Request-Id";
+    Opts.HeaderNames.Origin = "Origin";
     Opts.FleetRetryReserve = FleetRetryReserve;
     Opts.MaxRetryPercent = 5;
     Opts.PingInterval = Millis(100);
-    Opts.SilenceLimit = Millis(400);
+    Opts.LivenessTimeout = Millis(400);
     this->From = std::make_unique<Entry>(Opts, this->hooks(), this->Fleet);
     FaultList Faults;
     CompileResult Made = compileConfig(
@@ -80,12 +80,13 @@
       this->Refused[Id] = "broken " + Why.Reason;
     };
     Out.Refuse = [this](Entry::CallerId Id, const Refusal &Why) {
-      this->Refused[Id] = std::string(outcomeName(Why.What)) + " " + Why.Reason;
+      this->Refused[Id] =
+          std::string(outcomeName(Why.CallOutcome)) + " " + Why.Reason;
       this->ComeBack[Id] = Why.RetryAfter;
       this->OnRefuse(Id);
     };
     Out.PauseRequest = [](Entry::CallerId, bool) {};
-    Out.Judge = [this](const Fingerprint &Of, TimePoint) {
+    Out.CheckQuarantine = [this](const Fingerprint &Of, TimePoint) {
       this->Judged.push_back(Of);
       return this->Known;
     };
@@ -127,10 +128,10 @@
   }
 
   void hello(const std::string &Gate, uint64_t Incarnation = 1) {
-    this->From->gateUp(Gate, this->Now);
+    this->From->linkUp(Gate, this->Now);
     wire::CallHelloT Hello;
     Hello.incarnation = Incarnation;
-    this->From->frame(Gate, callFrame(std::move(Hello)), this->Now);
+    this->From->handleFrame(Gate, makeCallFrame(std::move(Hello)), this->Now);
   }
 
   /// The calls sent, as the gate and the frame that opened each.
@@ -161,7 +162,7 @@
     Failed.seq = Seq;
     Failed.outcome = What;
     Failed.reason = Reason;
-    this->From->frame(Gate, callFrame(std::move(Failed)), this->Now);
+    this->From->handleFrame(Gate, makeCallFrame(std::move(Failed)), this->Now);
   }
   void pass(Millis Time) {
     for (Millis Step(0); Step < Time; Step += Millis(20)) {
@@ -212,7 +213,7 @@
   this->OnRefuse = [this](Entry::CallerId Id) {
     this->From->callerGone(Id == 1 ? 2 : 1, this->Now);
   };
-  BOOST_CHECK_NO_THROW(this->From->gateDown("g-1", this->Now));
+  BOOST_CHECK_NO_THROW(this->From->linkDown("g-1", this->Now));
   BOOST_TEST(this->Refused.size() == 1u);
   BOOST_TEST(this->From->idle());
 }
@@ -222,7 +223,7 @@
 // same moment they find the upstream full.
 BOOST_FIXTURE_TEST_CASE(CallersComeBackWhenThereIsAVersion, Fixture) {
   Entry::Options Opts;
-  Opts.Names.RequestId = "Request-Id";
+  Opts.HeaderNames.RequestId = "Request-Id";
   this->From = std::make_unique<Entry>(Opts, this->hooks(), this->Fleet);
   std::set<Millis> Times;
   for (Entry::CallerId Id = 1; Id <= 100; ++Id) {
@@ -273,7 +274,7 @@
   auto Says = [this](bool Gone) {
     wire::PongT Pong;
     Pong.gone = Gone;
-    this->From->frame("g-1", callFrame(std::move(Pong)), this->Now);
+    this->From->handleFrame("g-1", makeCallFrame(std::move(Pong)), this->Now);
   };
   auto SentTo1 = [this](Entry::CallerId From) {
     size_t Before = this->opens().size();
@@ -485,7 +486,7 @@
   this->request(1, "/read/1");
   std::string Gate = this->Dialled.back();
   this->hello(Gate);
-  this->From->gateDown(Gate, this->Now);
+  this->From->linkDown(Gate, this->Now);
   size_t Before = std::count(this->Dialled.begin(), this->Dialled.end(), Gate);
   this->pass(Millis(400));
   BOOST_TEST(static_cast<size_t>(std::count(
@@ -498,13 +499,13 @@
   this->request(1, "/write/1");
   std::string Gate = this->Dialled.back();
   this->hello(Gate);
-  this->From->gateDown(Gate, this->Now);
+  this->From->linkDown(Gate, this->Now);
   BOOST_TEST(this->opens().size() == 1u);
   this->request(2, "/read/1");
   std::string Other = this->Dialled.back();
   this->hello(Other);
   BOOST_REQUIRE(this->opens().back().first == Other);
-  this->From->gateDown(Other, this->Now);
+  this->From->linkDown(Other, this->Now);
   BOOST_TEST(this->Dialled.back() != Other);
 }
 
@@ -516,7 +517,7 @@
   std::string First = this->Dialled.back();
   this->hello(First);
   uint64_t Seq = this->opens().back().second->seq;
-  this->From->gateDown(First, this->Now);
+  this->From->linkDown(First, this->Now);
   for (int I = 0; I < 2; ++I) {
     this->hello(this->Dialled.back());
     auto [Gate, Open] = this->opens().back();
@@ -533,7 +534,7 @@
   wire::HeadT Head;
   Head.seq = Seq;
   Head.status = 200;
-  this->From->frame(First, callFrame(std::move(Head)), this->Now);
+  this->From->handleFrame(First, makeCallFrame(std::move(Head)), this->Now);
   BOOST_TEST(this->Answered.count(1) == 1u);
 }
 
@@ -550,7 +551,7 @@
   std::string First = Of.Dialled.back();
   Of.hello(First);
   uint64_t Seq = Of.opens().back().second->seq;
-  Of.From->gateDown(First, Of.Now);
+  Of.From->linkDown(First, Of.Now);
   std::string Other = Of.Dialled.back();
   Of.hello(Other);
   uint64_t OtherSeq = Of.opens().back().second->seq;
@@ -566,15 +567,15 @@
   wire::AdmittedT Joined;
   Joined.seq = Seq;
   if (Row.First == FirstSays::Joined)
-    Of.From->frame(First, callFrame(Joined), Of.Now);
+    Of.From->handleFrame(First, makeCallFrame(Joined), Of.Now);
   if (Row.First == FirstSays::Ended)
     Of.fail(First, Seq, wire::Outcome::Unknown, "entry-lost");
   BOOST_TEST(Of.Refused.empty());
   wire::HeadT Head;
   Head.seq = Row.OfFirst ? Seq : OtherSeq;
   Head.status = 200;
-  Of.From->frame(Row.OfFirst ? First : Other, callFrame(std::move(Head)),
-                 Of.Now);
+  Of.From->handleFrame(Row.OfFirst ? First : Other,
+                       makeCallFrame(std::move(Head)), Of.Now);
   BOOST_TEST(Of.Answered.count(1) == 1u);
   BOOST_TEST(Of.cancels(First) == Row.CancelsFirst);
   BOOST_TEST(Of.cancels(Other) == Row.CancelsOther);
@@ -588,7 +589,7 @@
   std::string First = this->Dialled.back();
   this->hello(First);
   uint64_t Seq = this->opens().back().second->seq;
-  this->From->gateDown(First, this->Now);
+  this->From->linkDown(First, this->Now);
   this->hello(this->Dialled.back());
   for (int I = 0; I < 2; ++I) {
     this->pass(Millis(40));
@@ -596,7 +597,7 @@
     this->hello(First);
     BOOST_TEST(this->opens().back().second->resume);
     BOOST_TEST(this->opens().back().second->seq == Seq);
-    this->From->gateDown(First, this->Now);
+    this->From->linkDown(First, this->Now);
   }
   this->From->callerGone(1, this->Now);
   this->pass(Millis(40));
@@ -611,7 +612,7 @@
   this->request(1, "/read/1");
   std::string First = this->Dialled.back();
   this->hello(First);
-  this->From->gateDown(First, this->Now);
+  this->From->linkDown(First, this->Now);
   this->hello(this->Dialled.back());
   auto [Gate, Open] = this->opens().back();
   this->fail(Gate, Open->seq, wire::Outcome::NotRun, "overload");
@@ -629,7 +630,7 @@
   this->hello(Gate);
   this->list({"g-4"});
   this->request(2, "/write/2");
-  this->From->abandon(this->Now);
+  this->From->failRemainingCalls(this->Now);
   BOOST_TEST(this->Refused[1] == "unknown stopped");
   BOOST_TEST(this->Refused[2] == "not-run stopped");
   BOOST_TEST(this->cancels(Gate) == 1u);
@@ -671,12 +672,14 @@
   this->hello(this->Dialled.back());
   wire::AdmittedT Go;
   Go.seq = this->opens().back().second->seq;
-  this->From->frame(this->opens().back().first, callFrame(Go), this->Now);
+  this->From->handleFrame(this->opens().back().first, makeCallFrame(Go),
+                          this->Now);
   BOOST_TEST(this->bodyBytes() == 16384u);
   wire::CreditT Credit;
   Credit.seq = Go.seq;
   Credit.consumed = 5000;
-  this->From->frame(this->opens().back().first, callFrame(Credit), this->Now);
+  this->From->handleFrame(this->opens().back().first, makeCallFrame(Credit),
+                          this->Now);
   BOOST_TEST(this->bodyBytes() == 20000u);
 }
 
@@ -690,11 +693,11 @@
     auto [To, Open] = this->opens().back();
     wire::AdmittedT Go;
     Go.seq = Open->seq;
-    this->From->frame(To, callFrame(Go), this->Now);
+    this->From->handleFrame(To, makeCallFrame(Go), this->Now);
     wire::CreditT Credit;
     Credit.seq = Open->seq;
     Credit.consumed = 16384;
-    this->From->frame(To, callFrame(Credit), this->Now);
+    this->From->handleFrame(To, makeCallFrame(Credit), this->Now);
     BOOST_TEST(this->bodyBytes() - Before == 20000u);
     if (Gate == 0)
       this->fail(To, Open->seq, wire::Outcome::NotRun, "upstream-shed");
--- a/src/calls/Gate.cpp
+++ b/src/calls/Gate.cpp
@@ -235,8 +235,9 @@
   // What the upstream calls in turn has this much left.
   setHeader(One.Head.Headers, this->Opts.Names.Budget,
             std::to_string(toMillis(One.Deadline - Now).count()));
-  if (!this->Opts.Names.Expect.empty() && !One.Upstream.empty())
-    setHeader(One.Head.Headers, this->Opts.Names.Expect, One.Upstream);
+  if (!this->Opts.Names.ExpectedUpstream.empty() && !One.Upstream.empty())
+    setHeader(One.Head.Headers, this->Opts.Names.ExpectedUpstream,
+              One.Upstream);
   this->Hook.Start(Id, One.Head, One.Idempotent);
   if (std::exchange(One.BodyHeld, false) && this->Transfers.ask(Id, Now))
     this->askForBody(Id, One);
@@ -251,7 +252,7 @@
     return;
   One->Response.credit(Credit.consumed);
   this->sendAnswer(Id, *One);
-  if (One->AnswerPaused && One->Response.buffered() <= this->Opts.Window) {
+  if (One->AnswerPaused && One->Response.bufferedSize() <= this->Opts.Window) {
     One->AnswerPaused = false;
     this->Hook.PauseAnswer(Id, false);
   }
@@ -285,7 +286,7 @@
     wire::FailedT Failed;
     Failed.seq = Id.Seq;
     Failed.reason = "never-arrived";
-    return this->Hook.Send(Link, callFrame(std::move(Failed)));
+    return this->Hook.Send(Link, makeCallFrame(std::move(Failed)));
   }
   if (!One) {
     One = &this->enter(Id, Millis(Open.budget_ms), Link, Now);
@@ -308,7 +309,7 @@
   wire::AdmittedT Joined;
   Joined.seq = Id.Seq;
   Joined.request_received = One->Request.received();
-  this->Hook.Send(Link, callFrame(Joined));
+  this->Hook.Send(Link, makeCallFrame(Joined));
   if (One->HaveHead && !Open.have_head)
     this->sendHead(Id, *One, Now);
   this->sendAnswer(Id, *One);
@@ -378,7 +379,7 @@
   for (const auto &[Link, State] : this->Links) {
     wire::DrainingT Said;
     Said.by = By;
-    this->Hook.Send(Link, callFrame(std::move(Said)));
+    this->Hook.Send(Link, makeCallFrame(std::move(Said)));
   }
   this->refuseUnseen("draining", Now);
   this->pump(Now);
@@ -398,7 +399,7 @@
       this->Calls.begin(), this->Calls.end(), [](const auto &One) {
         const Call &Of = One.second;
         bool Told =
-            !Of.Linked || Of.Now == State::Refused || Of.Response.done();
+            !Of.Linked || Of.Now == State::Refused || Of.Response.isComplete();
         return Of.Now != State::Running && !Of.isUnseen() && Told;
       });
 }
@@ -420,7 +421,7 @@
     wire::PingT Ping;
     Ping.nonce = ++this->LastNonce;
     State.Barrier = Ping.nonce;
-    this->Hook.Send(Link, callFrame(Ping));
+    this->Hook.Send(Link, makeCallFrame(Ping));
   }
   this->tick(Now);
 }
--- a/src/calls/Gate.h
+++ b/src/calls/Gate.h
@@ -140,7 +140,7 @@
   /// reached the upstream.
   void upstreamFailed(const CallId &Id, bool Sent, const Error &Why,
                       TimePoint Now);
-  void upstreamProbed(UpstreamPort Found, TimePoint Now);
+  void upstreamProbed(UpstreamProbeResult Found, TimePoint Now);
   /// The upstream has said how long it stays cold.
   void upstreamTold(std::optional<Millis> ColdLeft, TimePoint Now);
   /// A request has gone out to the upstream: of this call, or nobody's, as a
--- a/src/calls/GateBodies.cpp
+++ b/src/calls/GateBodies.cpp
@@ -68,7 +68,7 @@
   wire::AdmittedT Go;
   Go.seq = Id.Seq;
   Go.request_received = One.Request.received();
-  this->Hook.Send(One.Link, callFrame(Go));
+  this->Hook.Send(One.Link, makeCallFrame(Go));
 }
 
 void Gate::grantTransfers(TimePoint Now) {
@@ -90,7 +90,7 @@
   wire::CreditT Credit;
   Credit.seq = Id.Seq;
   Credit.consumed = One.Request.received();
-  this->Hook.Send(One.Link, callFrame(Credit));
+  this->Hook.Send(One.Link, makeCallFrame(Credit));
 }
 
 void Gate::bodyArrived(const CallId &Id, Call &One, bool Whole, TimePoint Now) {
@@ -113,7 +113,7 @@
                               this->Opts.Self);
     if (One->isUnseen())
       return this->refuse(Id, *One, std::move(Gap), Now);
-    Gap.What = Outcome::Unknown;
+    Gap.CallOutcome = Outcome::Unknown;
     if (One->Now == State::Running)
       this->breakOff(Id, *One, Gap, Now);
     return;
--- a/src/calls/GateCallsTest.cpp
+++ b/src/calls/GateCallsTest.cpp
@@ -192,11 +192,11 @@
   Whole.seq = 1;
   Whole.bytes.assign(20000, 'x');
   Whole.end = true;
-  this->At->frame(Link, callFrame(std::move(Whole)), this->Now);
+  this->At->frame(Link, makeCallFrame(std::move(Whole)), this->Now);
   BOOST_TEST(this->asked() == (std::vector<uint64_t>{1, 2, 3}));
   wire::CancelT Gone;
   Gone.seq = 2;
-  this->At->frame(Link, callFrame(std::move(Gone)), this->Now);
+  this->At->frame(Link, makeCallFrame(std::move(Gone)), this->Now);
   BOOST_TEST(this->asked() == (std::vector<uint64_t>{1, 2, 3, 4}));
   this->At->tick(this->Now + Millis(1100));
   BOOST_TEST(this->asked() == (std::vector<uint64_t>{1, 2, 3, 4, 5}));
@@ -296,7 +296,7 @@
     Of.At->linkDown(Fixture::Link, Of.Now);
     break;
   case Ends::CallerGone:
-    Of.At->frame(Fixture::Link, callFrame(std::move(Gone)), Of.Now);
+    Of.At->frame(Fixture::Link, makeCallFrame(std::move(Gone)), Of.Now);
     break;
   case Ends::Deadline:
     Of.Now += Millis(2001);
--- a/src/calls/GateColdTest.cpp
+++ b/src/calls/GateColdTest.cpp
@@ -53,7 +53,7 @@
     this->At->upstreamFailed(
         {7, this->LastSeq}, /*Sent=*/true,
         Error{Errc::Closed, "upstream-call", "up-1", "ended"}, this->Now);
-    this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+    this->At->upstreamProbed(UpstreamProbeResult::Closed, this->Now);
   }
 };
 
@@ -78,7 +78,7 @@
     {"its port is closed, and opens again",
      [](Fixture &Of) {
        Of.closeUpstream();
-       Of.At->upstreamProbed(UpstreamPort::Open, Of.Now);
+       Of.At->upstreamProbed(UpstreamProbeResult::Open, Of.Now);
      },
      true},
     {"another upstream answers in its place",
@@ -165,7 +165,7 @@
   this->At->upstreamFailed(
       {7, this->LastSeq}, /*Sent=*/true,
       Error{Errc::Closed, "upstream-call", "up-1", "ended"}, this->Now);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+  this->At->upstreamProbed(UpstreamProbeResult::Closed, this->Now);
   BOOST_TEST(this->Crashes.empty());
 }
 
@@ -174,7 +174,7 @@
   this->At->upstreamFailed(
       {7, this->LastSeq}, /*Sent=*/true,
       Error{Errc::Closed, "upstream-call", "up-1", "ended"}, this->Now);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+  this->At->upstreamProbed(UpstreamProbeResult::Closed, this->Now);
   BOOST_TEST(this->Crashes.size() == 1u);
 }
 
--- a/src/calls/GateCrashes.cpp
+++ b/src/calls/GateCrashes.cpp
@@ -49,12 +49,12 @@
   }
 }
 
-void Gate::upstreamProbed(UpstreamPort Found, TimePoint Now) {
+void Gate::upstreamProbed(UpstreamProbeResult Found, TimePoint Now) {
   this->Probing = false;
-  this->ProbeAgain = Found == UpstreamPort::Unclear;
+  this->ProbeAgain = Found == UpstreamProbeResult::Inconclusive;
   if (this->ProbeAgain)
     return;
-  if (Found == UpstreamPort::Open) {
+  if (Found == UpstreamProbeResult::Open) {
     for (const CallId &Id : this->Watch.settle())
       this->failBroken(Id, UpstreamClosed, Now);
     this->upstreamBack(Now);
@@ -98,7 +98,7 @@
 
 void Gate::lookForUpstream(TimePoint Now) {
   if (this->Watch.isProbeLate(Now))
-    return this->upstreamProbed(UpstreamPort::Open, Now);
+    return this->upstreamProbed(UpstreamProbeResult::Open, Now);
   bool Due = this->Gone && Now >= this->NextLook;
   if (!Due && !this->ProbeAgain)
     return;
--- a/src/calls/GateCrashesTest.cpp
+++ b/src/calls/GateCrashesTest.cpp
@@ -48,7 +48,7 @@
   const char *What;
   Errc Code;
   // What the probe finds; nothing where it finds nothing in time.
-  std::optional<UpstreamPort> Found;
+  std::optional<UpstreamProbeResult> Found;
   bool Draining;
   const char *Reason;
   size_t Crashes;
@@ -58,16 +58,16 @@
 }
 
 const EndRow Ends[] = {
-    {"it is gone", Errc::Closed, UpstreamPort::Closed, false,
+    {"it is gone", Errc::Closed, UpstreamProbeResult::Closed, false,
      "upstream-crashed", 1},
-    {"it takes connections", Errc::Closed, UpstreamPort::Open, false,
+    {"it takes connections", Errc::Closed, UpstreamProbeResult::Open, false,
      "upstream-closed", 0},
     {"nobody says so", Errc::Closed, std::nullopt, false, "upstream-closed", 0},
-    {"it was leaving", Errc::Closed, UpstreamPort::Closed, true,
+    {"it was leaving", Errc::Closed, UpstreamProbeResult::Closed, true,
      "upstream-crashed", 0},
-    {"it is full, or ending", Errc::Closed, UpstreamPort::Unclear, false,
-     "upstream-closed", 0},
-    {"it sent rubbish", Errc::BadMessage, UpstreamPort::Closed, false,
+    {"it is full, or ending", Errc::Closed, UpstreamProbeResult::Inconclusive,
+     false, "upstream-closed", 0},
+    {"it sent rubbish", Errc::BadMessage, UpstreamProbeResult::Closed, false,
      "upstream-bad-message", 0},
 };
 
@@ -101,7 +101,7 @@
   for (uint64_t Seq = 1; Seq <= 3; ++Seq)
     this->openPath(Seq, "/" + std::to_string(Seq));
   this->connectionEnds(2);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+  this->At->upstreamProbed(UpstreamProbeResult::Closed, this->Now);
   BOOST_REQUIRE(this->Crashes.size() == 1u);
   BOOST_TEST(this->Crashes[0].size() == 3u);
   BOOST_TEST(this->Crashes[0][1].Request == "GET /2");
@@ -125,7 +125,7 @@
         this->Now);
   BOOST_TEST(this->Probes == 1u);
   BOOST_TEST(this->reason() == "upstream-unreachable");
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+  this->At->upstreamProbed(UpstreamProbeResult::Closed, this->Now);
   // Nothing ran there, so nothing is suspected.
   BOOST_TEST(this->Crashes.empty());
   BOOST_TEST(this->toldGone() == std::vector<bool>{true});
@@ -136,12 +136,12 @@
 BOOST_FIXTURE_TEST_CASE(APortThatClosesLateIsAskedAgain, Fixture) {
   this->openPath(1, "/x");
   this->connectionEnds(1);
-  this->At->upstreamProbed(UpstreamPort::Unclear, this->Now);
+  this->At->upstreamProbed(UpstreamProbeResult::Inconclusive, this->Now);
   BOOST_TEST(this->reason() == "");
   this->Now += Millis(20);
   this->At->tick(this->Now);
   BOOST_TEST(this->Probes == 2u);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+  this->At->upstreamProbed(UpstreamProbeResult::Closed, this->Now);
   BOOST_TEST(this->reason() == "upstream-crashed");
   BOOST_TEST(this->Crashes.size() == 1u);
 }
@@ -153,7 +153,7 @@
 BOOST_FIXTURE_TEST_CASE(AnUpstreamThatIsGoneIsToldOf, Fixture) {
   this->openPath(1, "/x");
   this->connectionEnds(1);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+  this->At->upstreamProbed(UpstreamProbeResult::Closed, this->Now);
   BOOST_TEST(this->toldGone() == std::vector<bool>{true});
   this->openPath(2, "/y");
   BOOST_TEST(this->Started.size() == 1u);
@@ -163,10 +163,10 @@
   for (int I = 0; I < 10; ++I) {
     this->Now += Millis(100);
     this->At->tick(this->Now);
-    this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+    this->At->upstreamProbed(UpstreamProbeResult::Closed, this->Now);
   }
   BOOST_TEST(this->Probes == Before + 10);
-  this->At->upstreamProbed(UpstreamPort::Open, this->Now);
+  this->At->upstreamProbed(UpstreamProbeResult::Open, this->Now);
   BOOST_TEST(this->toldGone() == (std::vector<bool>{true, false}));
   this->openPath(3, "/z");
   BOOST_TEST(this->Started.size() == 2u);
--- a/src/calls/GateFixture.h
+++ b/src/calls/GateFixture.h
@@ -55,7 +55,7 @@
     Open.target_ms = 500;
     Open.length = 20000;
     Open.holds_body = Held;
-    this->At->frame(Link, callFrame(std::move(Open)), this->Now);
+    this->At->frame(Link, makeCallFrame(std::move(Open)), this->Now);
   }
   void body(uint64_t Seq, uint64_t Offset, size_t Size, bool End) {
     wire::DataT Data;
@@ -63,7 +63,7 @@
     Data.offset = Offset;
     Data.bytes.assign(Size, 'x');
     Data.end = End;
-    this->At->frame(Link, callFrame(std::move(Data)), this->Now);
+    this->At->frame(Link, makeCallFrame(std::move(Data)), this->Now);
   }
   /// Bodies have taken 100 ms each.
   void slowLink() {
@@ -93,7 +93,7 @@
     Opts.Self = "me";
     Opts.Service = "a";
     Opts.Names.NotRun = "Not-Run";
-    Opts.Names.Expect = "Expect-Upstream";
+    Opts.Names.ExpectedUpstream = "Expect-Upstream";
     Opts.Names.Budget = "Budget";
     Gate::Hooks Hooks;
     Hooks.Send = [this](Gate::LinkId, wire::CallFrameT Frame) {
@@ -125,7 +125,7 @@
     this->At->linkUp(Link, this->Now);
     wire::CallHelloT Hello;
     Hello.incarnation = 7;
-    this->At->frame(Link, callFrame(std::move(Hello)), this->Now);
+    this->At->frame(Link, makeCallFrame(std::move(Hello)), this->Now);
   }
 
   void configure(const std::string &Records) {
@@ -160,7 +160,7 @@
     return Open;
   }
   void open(wire::OpenT Open) {
-    this->At->frame(Link, callFrame(std::move(Open)), this->Now);
+    this->At->frame(Link, makeCallFrame(std::move(Open)), this->Now);
   }
 
   /// The last frame about a call that failed; null if there is none.
--- a/src/calls/GateLinks.cpp
+++ b/src/calls/GateLinks.cpp
@@ -10,14 +10,14 @@
   wire::CallHelloT Hello;
   Hello.node = this->Opts.Self;
   Hello.incarnation = this->Opts.Incarnation;
-  this->Hook.Send(Link, callFrame(std::move(Hello)));
+  this->Hook.Send(Link, makeCallFrame(std::move(Hello)));
   if (this->Gone)
     this->sendPong(Link, /*Nonce=*/0, Now);
   if (!this->draining())
     return;
   wire::DrainingT Said;
   Said.by = this->drainedBy();
-  this->Hook.Send(Link, callFrame(std::move(Said)));
+  this->Hook.Send(Link, makeCallFrame(std::move(Said)));
 }
 
 // The calls of a lost link go on: the entry may find them again over another.
@@ -60,19 +60,19 @@
           .count());
   Head.waited_us = static_cast<uint32_t>(
       std::chrono::duration_cast<Micros>(One.StartedAt - One.CameAt).count());
-  this->Hook.Send(One.Link, callFrame(std::move(Head)));
+  this->Hook.Send(One.Link, makeCallFrame(std::move(Head)));
 }
 
 void Gate::sendAnswer(const CallId &Id, Call &One) {
   if (!One.Linked)
     return;
-  while (auto Piece = One.Response.next(this->Opts.PieceBytes)) {
+  while (auto Piece = One.Response.nextPiece(this->Opts.PieceBytes)) {
     wire::DataT Data;
     Data.seq = Id.Seq;
     Data.offset = Piece->Offset;
     Data.bytes.assign(Piece->Bytes.begin(), Piece->Bytes.end());
     Data.end = Piece->End;
-    this->Hook.Send(One.Link, callFrame(std::move(Data)));
+    this->Hook.Send(One.Link, makeCallFrame(std::move(Data)));
   }
 }
 
@@ -81,8 +81,9 @@
     return;
   wire::FailedT Failed;
   Failed.seq = Id.Seq;
-  Failed.outcome = One.Why.What == Outcome::NotRun ? wire::Outcome::NotRun
-                                                   : wire::Outcome::Unknown;
+  Failed.outcome = One.Why.CallOutcome == Outcome::NotRun
+                       ? wire::Outcome::NotRun
+                       : wire::Outcome::Unknown;
   Failed.reason = One.Why.Reason;
   Failed.step = One.Why.Step;
   Failed.peer = One.Why.Peer;
@@ -91,7 +92,7 @@
   Failed.room_in_ms = static_cast<uint32_t>(
       toMillis(this->Slots.coldStart().wait(Now)).count());
   Failed.load = std::make_unique<wire::Load>(this->load(Now));
-  this->Hook.Send(One.Link, callFrame(std::move(Failed)));
+  this->Hook.Send(One.Link, makeCallFrame(std::move(Failed)));
 }
 
 void Gate::tellLinks(TimePoint Now) {
@@ -105,7 +106,7 @@
   Pong.load = std::make_unique<wire::Load>(this->load(Now));
   Pong.draining = this->draining();
   Pong.gone = this->Gone;
-  this->Hook.Send(Link, callFrame(std::move(Pong)));
+  this->Hook.Send(Link, makeCallFrame(std::move(Pong)));
 }
 
 // The process at the other end has died, or the way to it is cut: its caller
--- a/src/calls/GateUpstream.cpp
+++ b/src/calls/GateUpstream.cpp
@@ -36,7 +36,7 @@
   wire::CreditT Credit;
   Credit.seq = Id.Seq;
   Credit.consumed = Total;
-  this->Hook.Send(One->Link, callFrame(Credit));
+  this->Hook.Send(One->Link, makeCallFrame(Credit));
 }
 
 void Gate::upstreamHead(const CallId &Id, const ResponseHead &Head,
@@ -114,7 +114,7 @@
     return this->upstreamEnd(Id, Now);
   this->sendAnswer(Id, *One);
   if (!One->AnswerPaused &&
-      One->Response.buffered() > AnswerHighWater * this->Opts.Window) {
+      One->Response.bufferedSize() > AnswerHighWater * this->Opts.Window) {
     One->AnswerPaused = true;
     this->Hook.PauseAnswer(Id, true);
   }
--- a/src/calls/Message.cpp
+++ b/src/calls/Message.cpp
@@ -50,8 +50,8 @@
   return "";
 }
 
-std::optional<Millis> findMillis(const HeaderList &Headers,
-                                 std::string_view Name) {
+std::optional<Millis> findMillisHeader(const HeaderList &Headers,
+                                       std::string_view Name) {
   std::string Text = findHeader(Headers, Name);
   uint32_t Ms = 0;
   auto [Stop, Code] =
@@ -72,17 +72,17 @@
 Refusal makeRefusal(Outcome What, const std::string &Reason,
                     const std::string &Step, const std::string &Peer) {
   Refusal Out;
-  Out.What = What;
+  Out.CallOutcome = What;
   Out.Reason = Reason;
   Out.Step = Step;
   Out.Peer = Peer;
   return Out;
 }
 
-unsigned statusOf(const Refusal &Why) {
+unsigned httpStatus(const Refusal &Why) {
   if (Why.Status)
     return Why.Status;
-  return Why.What == Outcome::NotRun ? 503 : 504;
+  return Why.CallOutcome == Outcome::NotRun ? 503 : 504;
 }
 
 const char *outcomeName(Outcome What) {
--- a/src/calls/Message.h
+++ b/src/calls/Message.h
@@ -39,8 +39,8 @@
 /// Case-insensitive; empty if absent.
 std::string findHeader(const HeaderList &Headers, std::string_view Name);
 /// A field that holds whole milliseconds; nothing where it does not.
-std::optional<Millis> findMillis(const HeaderList &Headers,
-                                 std::string_view Name);
+std::optional<Millis> findMillisHeader(const HeaderList &Headers,
+                                       std::string_view Name);
 /// Without the fields that concern one connection only (RFC 9110, 7.6.1).
 HeaderList endToEndHeaders(const HeaderList &Headers);
 
@@ -76,7 +76,7 @@
 /// Why a call has no answer, as the caller is told in the headers
 /// Hickorylift-Outcome, -Reason, -Step and -Peer.
 struct Refusal {
-  Outcome What = Outcome::NotRun;
+  Outcome CallOutcome = Outcome::NotRun;
   /// "no-route", "overload", "draining", "deadline", ...
   std::string Reason;
   std::string Step;
@@ -88,26 +88,27 @@
 };
 
 /// What a probe finds at the address of an upstream.
-enum class UpstreamPort {
+enum class UpstreamProbeResult {
   Open,
   /// Connections are refused, and all that there were have ended.
   Closed,
   /// A connection is refused while another one stands: the upstream is full, or
   /// is ending just now.
-  Unclear,
+  Inconclusive,
 };
 
 /// What an upstream says of itself.
 struct HealthAnswer {
   unsigned Status = 0;
-  std::string Text;
+  std::string Body;
   /// How much longer it stays cold, as a warm one need not say.
-  std::optional<Millis> ColdLeft;
+  std::optional<Millis> ColdTimeLeft;
 
-  bool isWell() const { return this->Status == 200; }
+  bool isHealthy() const { return this->Status == 200; }
   /// Nothing where it is not known.
-  std::optional<Millis> coldLeft() const {
-    return this->ColdLeft || !this->isWell() ? this->ColdLeft : Millis(0);
+  std::optional<Millis> coldTimeLeft() const {
+    return this->ColdTimeLeft || !this->isHealthy() ? this->ColdTimeLeft
+                                                    : Millis(0);
   }
 };
 
@@ -115,7 +116,7 @@
                     const std::string &Step, const std::string &Peer);
 
 /// 503 for what was not run, 504 for what may have run, or the refusal's own.
-unsigned statusOf(const Refusal &Why);
+unsigned httpStatus(const Refusal &Why);
 const char *outcomeName(Outcome What);
 
 std::string encodeFrame(const wire::CallFrameT &Frame);
@@ -123,7 +124,7 @@
 decodeCallFrame(std::string_view Sealed,
                 const Safeguards &Guards = Safeguards());
 
-template <typename PayloadT> wire::CallFrameT callFrame(PayloadT Payload) {
+template <typename PayloadT> wire::CallFrameT makeCallFrame(PayloadT Payload) {
   wire::CallFrameT Frame;
   Frame.payload.Set(std::move(Payload));
   return Frame;
--- a/src/gate/ColdStartTest.cpp
+++ b/src/gate/ColdStartTest.cpp
@@ -299,7 +299,7 @@
   }
   std::optional<Admission::Answer> No = At.start(at(600));
   BOOST_REQUIRE(No);
-  BOOST_TEST((No->Why.What == Outcome::NotRun));
+  BOOST_TEST((No->Why.CallOutcome == Outcome::NotRun));
   BOOST_TEST((No->Why.RetryAfter >= Millis(900)));
   BOOST_TEST(!At.start(at(1500)));
 }
--- a/src/gate/GateTest.cpp
+++ b/src/gate/GateTest.cpp
@@ -155,7 +155,7 @@
   Admission::Next Turn = Slots.next(Start + Millis(250));
   BOOST_TEST(Turn.Run.empty());
   BOOST_REQUIRE(Turn.Drop.size() == 1u);
-  BOOST_TEST((Turn.Drop[0].Why.What == Outcome::NotRun));
+  BOOST_TEST((Turn.Drop[0].Why.CallOutcome == Outcome::NotRun));
 }
 
 BOOST_AUTO_TEST_CASE(DrainRefusesNewAndWaiting) {
--- a/src/gate/KeyJudge.cpp
+++ b/src/gate/KeyJudge.cpp
@@ -82,7 +82,7 @@
                                   unsigned Status) const {
   Answer Out;
   Out.What = What;
-  Out.Why.What = Means;
+  Out.Why.CallOutcome = Means;
   Out.Why.Reason = Reason;
   Out.Why.Step = StepName;
   Out.Why.Peer = this->Self;
--- a/src/http/CallerServer.cpp
+++ b/src/http/CallerServer.cpp
@@ -494,14 +494,14 @@
 
 std::string CallerServer::refusalText(const Exchange &Of,
                                       const Refusal &Why) const {
-  unsigned Status = statusOf(Why);
+  unsigned Status = httpStatus(Why);
   std::string Out =
       "HTTP/1.1 " + std::to_string(Status) + " " + reasonOf(Status) + "\r\n";
   auto Add = [&](const char *Name, const std::string &Value) {
     if (!Value.empty())
       addField(Out, Name, Value);
   };
-  Add("Hickorylift-Outcome", outcomeName(Why.What));
+  Add("Hickorylift-Outcome", outcomeName(Why.CallOutcome));
   Add("Hickorylift-Reason", Why.Reason);
   Add("Hickorylift-Step", Why.Step);
   Add("Hickorylift-Peer", Why.Peer);
@@ -513,7 +513,7 @@
   if (Of.CloseAfter)
     Add("Connection", "close");
   std::string Text =
-      std::string(outcomeName(Why.What)) + ": " + Why.Reason + "\n";
+      std::string(outcomeName(Why.CallOutcome)) + ": " + Why.Reason + "\n";
   Add("Content-Type", "text/plain");
   Add("Content-Length", std::to_string(Text.size()));
   Out.append("\r\n");
--- a/src/http/HttpSocketsTest.cpp
+++ b/src/http/HttpSocketsTest.cpp
@@ -103,7 +103,7 @@
   Dialect Out;
   Out.RequestId = "Request-Id";
   Out.NotRun = "Not-Run";
-  Out.Proof = "Proof";
+  Out.UpstreamMark = "Proof";
   return Out;
 }
 
@@ -122,7 +122,7 @@
   std::map<CallId, ResponseHead> Heads;
   std::map<CallId, std::string> Bodies;
   std::map<CallId, std::string> Ends;
-  std::optional<UpstreamPort> Found;
+  std::optional<UpstreamProbeResult> Found;
 
   ClientFixture() {
     uint16_t Port = 0;
@@ -146,7 +146,9 @@
     };
     Hooks.Consumed = [](const CallId &, uint64_t, TimePoint) {};
     Hooks.Health = [](const Result<HealthAnswer> &, TimePoint) {};
-    Hooks.Probed = [this](UpstreamPort Is, TimePoint) { this->Found = Is; };
+    Hooks.Probed = [this](UpstreamProbeResult Is, TimePoint) {
+      this->Found = Is;
+    };
     this->Http = std::make_unique<UpstreamClient>(
         Opts, Hooks, [this] { return Clock::now() + this->Ahead; });
   }
@@ -188,7 +190,7 @@
     BOOST_REQUIRE(this->end(1) == "answered");
     return Upstream;
   }
-  std::optional<UpstreamPort> probe() {
+  std::optional<UpstreamProbeResult> probe() {
     this->Http->probe();
     turnUntil([&] { return this->Found.has_value(); });
     return this->Found;
@@ -322,7 +324,7 @@
 // what its request is taken for. The connection that was made to find out is
 // not wasted.
 BOOST_FIXTURE_TEST_CASE(AProbeServesTheNextCall, ClientFixture) {
-  BOOST_TEST((this->probe() == UpstreamPort::Open));
+  BOOST_TEST((this->probe() == UpstreamProbeResult::Open));
   RawPeer Upstream = this->accept();
   this->start(1);
   BOOST_TEST(Upstream.waitFor("\r\n\r\n"));
@@ -338,8 +340,8 @@
   if (!Stands)
     Upstream.close();
   Of.stopListening();
-  BOOST_TEST(
-      (Of.probe() == (Stands ? UpstreamPort::Unclear : UpstreamPort::Closed)));
+  BOOST_TEST((Of.probe() == (Stands ? UpstreamProbeResult::Inconclusive
+                                    : UpstreamProbeResult::Closed)));
 }
 
 // What an upstream sends is the call's answer only if it is whole, and its own;
--- a/src/http/UpstreamClient.cpp
+++ b/src/http/UpstreamClient.cpp
@@ -199,9 +199,10 @@
   } else {
     this->discard(On);
   }
-  UpstreamPort Found = !Refused                    ? UpstreamPort::Open
-                       : this->hasLiveConnection() ? UpstreamPort::Unclear
-                                                   : UpstreamPort::Closed;
+  UpstreamProbeResult Found = !Refused ? UpstreamProbeResult::Open
+                              : this->hasLiveConnection()
+                                  ? UpstreamProbeResult::Inconclusive
+                                  : UpstreamProbeResult::Closed;
   this->Hook.Probed(Found, At);
 }
 
@@ -347,11 +348,11 @@
       return true;
   }
   bool Success = Head.Status < FirstNotSuccess;
-  bool Unproved = Success && !Names.Proof.empty() &&
-                  findHeader(Head.Headers, Names.Proof).empty();
+  bool Unproved = Success && !Names.UpstreamMark.empty() &&
+                  findHeader(Head.Headers, Names.UpstreamMark).empty();
   // Nobody asked for a coding, so such a body is not the upstream's.
   bool Coded = !findHeader(Head.Headers, "Content-Encoding").empty();
-  if (!Names.Proof.empty() && (Unproved || Coded)) {
+  if (!Names.UpstreamMark.empty() && (Unproved || Coded)) {
     this->fail(On, Errc::BadMessage,
                Coded ? "body in a coding nobody asked for"
                      : "success without the upstream's mark",
@@ -398,9 +399,9 @@
     this->keep(On, *Parser, At);
     HealthAnswer Said;
     Said.Status = Parser->head().Status;
-    Said.Text = std::move(Of->Held);
-    Said.ColdLeft =
-        findMillis(Parser->head().Headers, this->Opts.Names.ColdLeft);
+    Said.Body = std::move(Of->Held);
+    Said.ColdTimeLeft =
+        findMillisHeader(Parser->head().Headers, this->Opts.Names.ColdTimeLeft);
     return this->Hook.Health(Said, At);
   }
   std::unique_ptr<ResponseParser> Parser = std::move(On->Parser);
--- a/src/http/UpstreamClient.h
+++ b/src/http/UpstreamClient.h
@@ -74,8 +74,8 @@
     /// What the upstream's own health endpoint says, or that it said nothing.
     std::function<void(const Result<HealthAnswer> &, TimePoint)> Health;
     /// After probe().
-    std::function<void(UpstreamPort, TimePoint)> Probed = [](UpstreamPort,
-                                                             TimePoint) {};
+    std::function<void(UpstreamProbeResult, TimePoint)> Probed =
+        [](UpstreamProbeResult, TimePoint) {};
   };
 
   UpstreamClient(Options Opts, Hooks Hooks, std::function<TimePoint()> Clock);
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -112,7 +112,7 @@
 
 void Node::makeCore() {
   NodeCore::Options Opts = this->Set.Core;
-  Opts.CallEntry.Names = this->Names;
+  Opts.CallEntry.HeaderNames = this->Names;
   Opts.CallGate.Names = this->Names;
   Opts.setIdentity(this->Set.Name, this->Set.DataCentre, this->Set.DataCentres,
                    this->Set.Service, this->Incarnation);
@@ -186,12 +186,12 @@
       });
 }
 
-void Node::logCall(const Entry::Note &Of, TimePoint Now) {
-  std::string Kind = std::string(Of.What) + " " + Of.Reason;
+void Node::logCall(const Entry::CallEvent &Of, TimePoint Now) {
+  std::string Kind = std::string(Of.Name) + " " + Of.Reason;
   if (!this->CallLog.allow(Kind, Of.RequestId, Now))
     return;
   std::optional<Millis> ListAge = this->Core->control().oldestListAge(Now);
-  LogLine(Of.What)
+  LogLine(Of.Name)
       .add("id", Of.RequestId)
       .add("route", Of.Route)
       .add("gate", Of.Gate)
@@ -201,7 +201,7 @@
       .add("list_age_ms", ListAge ? std::to_string(ListAge->count()) : "none")
       .add("offers", Of.Offers)
       .add("age_ms", positive(Of.Age))
-      .add("left_ms", positive(Of.Left))
+      .add("left_ms", positive(Of.TimeLeft))
       .info();
 }
 
@@ -227,10 +227,10 @@
   Hooks.BodyEnd = [this](Entry::CallerId Caller) {
     this->Http->bodyEnd(Caller);
   };
-  Hooks.Took = [this](Clock::duration Length, bool Answered) {
+  Hooks.CallFinished = [this](Clock::duration Length, bool Answered) {
     this->Operators->metrics().callTook(Length, Answered);
   };
-  Hooks.Decided = [this](const Entry::Note &Of, TimePoint Now) {
+  Hooks.LogEvent = [this](const Entry::CallEvent &Of, TimePoint Now) {
     this->logCall(Of, Now);
   };
   Hooks.Abort = [this](Entry::CallerId Caller, const Refusal &) {
@@ -301,7 +301,7 @@
   Hooks.Health = [this](const Result<HealthAnswer> &Said, TimePoint Now) {
     this->Core->health(Said, Now);
   };
-  Hooks.Probed = [&At](UpstreamPort Found, TimePoint Now) {
+  Hooks.Probed = [&At](UpstreamProbeResult Found, TimePoint Now) {
     At.upstreamProbed(Found, Now);
   };
   UpstreamClient::Options Opts = this->Set.Upstream;
--- a/src/node/Node.h
+++ b/src/node/Node.h
@@ -56,7 +56,7 @@
   void makeTransport();
   void makeUpstream();
   void makeCallerServer();
-  void logCall(const Entry::Note &Of, TimePoint Now);
+  void logCall(const Entry::CallEvent &Of, TimePoint Now);
   void logSuppressed(TimePoint Now);
   Entry::Hooks callerHooks();
   Gate::Hooks upstreamHooks();
--- a/src/node/NodeCore.cpp
+++ b/src/node/NodeCore.cpp
@@ -111,13 +111,13 @@
       return this->Hook.Dial(CallPurpose, Name, Gate.Node);
     this->Hook.Post([this, Name](TimePoint Now) {
       this->At->linkUp(LocalLink, Now);
-      this->From->gateUp(Name, Now);
+      this->From->linkUp(Name, Now);
     });
   };
   Out.Send = [this](const std::string &Gate, wire::CallFrameT Frame) {
     this->sendToGate(Gate, std::move(Frame));
   };
-  Out.Judge = [this](const Fingerprint &Of, TimePoint Now) {
+  Out.CheckQuarantine = [this](const Fingerprint &Of, TimePoint Now) {
     return this->Control->quarantine().judge(Of, Now);
   };
   Out.Close = [this](const std::string &Gate) {
@@ -169,7 +169,7 @@
   if (Link != LocalLink)
     return this->Hook.Send(Link, encodeFrame(Frame));
   this->Hook.Post([this, Frame = std::move(Frame)](TimePoint Now) {
-    this->From->frame(this->Opts.CallGate.Self, Frame, Now);
+    this->From->handleFrame(this->Opts.CallGate.Self, Frame, Now);
   });
 }
 
@@ -191,7 +191,7 @@
   this->Control->audit().add(Now, "paused", std::to_string(Gap.count()) + "ms",
                              "clock", "what lay in the sockets is suspect");
   this->At->paused(Now);
-  this->From->paused(Now);
+  this->From->processPaused(Now);
 }
 
 void NodeCore::opened(LinkId Link, char Purpose, const std::string &Dialled,
@@ -210,7 +210,7 @@
   }
   this->GateLinks[Dialled] = Link;
   this->LinkGates[Link] = Dialled;
-  this->From->gateUp(Dialled, Now);
+  this->From->linkUp(Dialled, Now);
 }
 
 void NodeCore::dialFailed(char Purpose, const std::string &Peer,
@@ -219,7 +219,7 @@
   if (Purpose == ControlPurpose)
     this->Control->dialFailed(Peer, Now);
   else
-    this->From->gateDown(Peer, Now);
+    this->From->linkDown(Peer, Now);
 }
 
 void NodeCore::frame(LinkId Link, char Purpose, std::string_view Bytes,
@@ -238,7 +238,7 @@
   if (Gate == this->LinkGates.end())
     return this->At->frame(Link, *Frame, Now);
   std::string Name = Gate->second;
-  this->From->frame(Name, *Frame, Now);
+  this->From->handleFrame(Name, *Frame, Now);
 }
 
 void NodeCore::closed(LinkId Link, char Purpose, TimePoint Now) {
@@ -251,7 +251,7 @@
   std::string Name = Gate->second;
   this->LinkGates.erase(Gate);
   this->GateLinks.erase(Name);
-  this->From->gateDown(Name, Now);
+  this->From->linkDown(Name, Now);
 }
 
 // An upstream that leaves is marked so in the list, or only taken off it.
@@ -307,9 +307,9 @@
 void NodeCore::health(const Result<HealthAnswer> &Said, TimePoint Now) {
   this->observe(Now);
   if (Said)
-    this->At->upstreamTold(Said->coldLeft(), Now);
-  bool Up = Said && Said->isWell();
-  std::string Text = Said ? Said->Text.substr(0, MaxHealthText) : "";
+    this->At->upstreamTold(Said->coldTimeLeft(), Now);
+  bool Up = Said && Said->isHealthy();
+  std::string Text = Said ? Said->Body.substr(0, MaxHealthText) : "";
   if (Up != this->UpstreamUp)
     this->Control->audit().add(Now, "upstream", Up ? "reachable" : "lost",
                                "health",
@@ -404,7 +404,7 @@
   // leaves before the next tick.
   if (!Idle && this->Opts.Guards.StopWaits &&
       !std::exchange(this->Abandoned, true))
-    return this->From->abandon(Now);
+    return this->From->failRemainingCalls(Now);
   this->StopDone = true;
   this->Control->audit().add(Now, "stopped", this->Opts.CallGate.Self, "",
                              Idle ? "nothing cut" : "time ran out");
--- a/src/operator/OperatorServer.cpp
+++ b/src/operator/OperatorServer.cpp
@@ -147,7 +147,7 @@
   Upstream["slots"] = Load.slots();
   Upstream["cold"] = this->Of.core().gate().isCold(Now);
   Upstream["mean_run_us"] = Load.latency_us();
-  Out["entry"]["calls"] = Json::UInt64(this->Of.core().entry().calls());
+  Out["entry"]["calls"] = Json::UInt64(this->Of.core().entry().callCount());
   Out["entry"]["refused"] =
       toJson(this->Of.core().entry().counters().RefusedBy);
   Out["gate"]["refused"] = toJson(this->Of.core().gate().counters().RefusedBy);
@@ -225,12 +225,12 @@
     Out["config"] = toJson(Held->stamp());
     Out["config"]["from"] = this->Of.core().control().configSource();
   }
-  if (Found.Taken) {
-    Out["route"] = Found.Taken->Name;
-    for (const SplitPart &Part : Found.Taken->Parts)
+  if (Found.MatchedRoute) {
+    Out["route"] = Found.MatchedRoute->Name;
+    for (const SplitPart &Part : Found.MatchedRoute->Parts)
       Out["services"][Part.Target->Name] = Part.Weight;
-    Out["idempotent"] = Found.Taken->isIdempotent(Head.Method);
-    Out["timeout_ms"] = Json::Int64(Found.Taken->Timeout.count());
+    Out["idempotent"] = Found.MatchedRoute->isIdempotent(Head.Method);
+    Out["timeout_ms"] = Json::Int64(Found.MatchedRoute->Timeout.count());
   }
   for (const Instance *One : Found.Candidates) {
     Json::Value Row(Json::objectValue);
--- a/src/settings/Settings.cpp
+++ b/src/settings/Settings.cpp
@@ -202,36 +202,37 @@
   void readCalls(JsonObject &Top) {
     JsonObject Calls = this->section(Top, "calls");
     Entry::Options &To = this->Out.Core.CallEntry;
-    To.Window = static_cast<uint64_t>(
-        Calls.integer("window_bytes", To.Window, 4096, 64 << 20));
-    this->Out.Core.CallGate.Window = To.Window;
-    To.BodyWindow = static_cast<uint64_t>(
-        Calls.integer("body_window_bytes", To.BodyWindow, 8192, 64 << 20));
+    To.ReadAheadBytes = static_cast<uint64_t>(
+        Calls.integer("window_bytes", To.ReadAheadBytes, 4096, 64 << 20));
+    this->Out.Core.CallGate.Window = To.ReadAheadBytes;
+    To.BodyWindowBytes = static_cast<uint64_t>(
+        Calls.integer("body_window_bytes", To.BodyWindowBytes, 8192, 64 << 20));
     // Whatever is gathered is also held to be sent again, and a caller is not
     // read any further than the window.
-    auto Most = static_cast<int64_t>(To.Window) - 1;
+    auto Most = static_cast<int64_t>(To.ReadAheadBytes) - 1;
     To.GatherBytes =
         Calls.integer("gather_bytes", std::min(To.GatherBytes, Most), 0, Most);
-    To.ComeBack = Calls.millis("come_back_ms", To.ComeBack.count(), 1, MaxMs);
+    To.RetryAfter =
+        Calls.millis("come_back_ms", To.RetryAfter.count(), 1, MaxMs);
     To.FleetRetryReserve =
         Calls.number("retry_reserve", To.FleetRetryReserve, 0, 1e6);
     To.MaxRetryPercent =
         Calls.number("max_retry_percent", To.MaxRetryPercent, 0, 100);
-    To.ConnectLimit =
-        Calls.millis("connect_ms", To.ConnectLimit.count(), 10, 60000);
+    To.ConnectTimeout =
+        Calls.millis("connect_ms", To.ConnectTimeout.count(), 10, 60000);
     To.MaxCalls = static_cast<size_t>(
         Calls.integer("max_calls", To.MaxCalls, 1, 1 << 20));
     To.PingInterval =
         Calls.millis("ping_ms", To.PingInterval.count(), 10, 60000);
-    To.SilenceLimit =
-        Calls.millis("silence_ms", To.SilenceLimit.count(), 20, 60000);
-    To.FindAgain =
-        Calls.millis("find_again_ms", To.FindAgain.count(), 0, 60000);
+    To.LivenessTimeout =
+        Calls.millis("silence_ms", To.LivenessTimeout.count(), 20, 60000);
+    To.SearchTimeout =
+        Calls.millis("find_again_ms", To.SearchTimeout.count(), 0, 60000);
     this->Out.Core.CallGate.RememberSlack = Calls.millis(
         "remember_ms", this->Out.Core.CallGate.RememberSlack.count(), 0, MaxMs);
-    if (To.SilenceLimit < To.PingInterval)
+    if (To.LivenessTimeout < To.PingInterval)
       Calls.fault("silence_ms", "expected at least ping_ms");
-    if (this->Out.Core.CallGate.RememberSlack < To.FindAgain)
+    if (this->Out.Core.CallGate.RememberSlack < To.SearchTimeout)
       Calls.fault("remember_ms",
                   "expected at least find_again_ms: a gate that forgets "
                   "sooner would call a call that ran not run");
