--- a/src/calls/Message.cpp
+++ b/src/calls/Message.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::array<const char *, 10> ConnectionFields = {
+constexpr std::array<const char *, 10> HopByHopFields = {
     "Connection",     "Keep-Alive",        "Proxy-Connection", "TE",
     "Trailer",        "Transfer-Encoding", "Upgrade",          "Expect",
     "Content-Length", "Proxy-Authenticate"};
@@ -20,9 +20,9 @@
   return A.size() == B.size() && strncasecmp(A.data(), B.data(), A.size()) == 0;
 }
 
-bool isConnectionField(std::string_view Name) {
-  for (const char *One : ConnectionFields)
-    if (sameName(Name, One))
+bool isHopByHopField(std::string_view Name) {
+  for (const char *Field : HopByHopFields)
+    if (sameName(Name, Field))
       return true;
   return false;
 }
@@ -33,8 +33,8 @@
 
 void setHeader(HeaderList &Headers, const std::string &Name,
                const std::string &Value) {
-  std::erase_if(Headers, [&](const HeaderField &One) {
-    return sameName(One.Name, Name);
+  std::erase_if(Headers, [&](const HeaderField &Field) {
+    return sameName(Field.Name, Name);
   });
   Headers.push_back({Name, Value});
 }
@@ -44,9 +44,9 @@
 }
 
 std::string findHeader(const HeaderList &Headers, std::string_view Name) {
-  for (const HeaderField &One : Headers)
-    if (sameName(One.Name, Name))
-      return One.Value;
+  for (const HeaderField &Field : Headers)
+    if (sameName(Field.Name, Name))
+      return Field.Value;
   return "";
 }
 
@@ -54,66 +54,66 @@
                                        std::string_view Name) {
   std::string Text = findHeader(Headers, Name);
   uint32_t Ms = 0;
-  auto [Stop, Code] =
+  auto [End, ErrorCode] =
       std::from_chars(Text.data(), Text.data() + Text.size(), Ms);
-  if (Text.empty() || Code != std::errc() || *Stop != '\0')
+  if (Text.empty() || ErrorCode != std::errc() || *End != '\0')
     return std::nullopt;
   return Millis(Ms);
 }
 
 HeaderList endToEndHeaders(const HeaderList &Headers) {
-  HeaderList Out;
-  for (const HeaderField &One : Headers)
-    if (!isConnectionField(One.Name))
-      Out.push_back(One);
-  return Out;
+  HeaderList Result;
+  for (const HeaderField &Field : Headers)
+    if (!isHopByHopField(Field.Name))
+      Result.push_back(Field);
+  return Result;
 }
 
-Refusal makeRefusal(Outcome What, const std::string &Reason,
+Refusal makeRefusal(Outcome CallOutcome, const std::string &Reason,
                     const std::string &Step, const std::string &Peer) {
-  Refusal Out;
-  Out.CallOutcome = What;
-  Out.Reason = Reason;
-  Out.Step = Step;
-  Out.Peer = Peer;
-  return Out;
+  Refusal Result;
+  Result.CallOutcome = CallOutcome;
+  Result.Reason = Reason;
+  Result.Step = Step;
+  Result.Peer = Peer;
+  return Result;
 }
 
-unsigned httpStatus(const Refusal &Why) {
-  if (Why.Status)
-    return Why.Status;
-  return Why.CallOutcome == Outcome::NotRun ? 503 : 504;
+unsigned httpStatus(const Refusal &Cause) {
+  if (Cause.Status)
+    return Cause.Status;
+  return Cause.CallOutcome == Outcome::NotRun ? 503 : 504;
 }
 
-const char *outcomeName(Outcome What) {
-  return What == Outcome::NotRun ? "not-run" : "unknown";
+const char *outcomeName(Outcome CallOutcome) {
+  return CallOutcome == Outcome::NotRun ? "not-run" : "unknown";
 }
 
 std::string encodeFrame(const wire::CallFrameT &Frame) {
   return packFrame<wire::CallFrame>(Frame);
 }
 
-Result<wire::CallFrameT> decodeCallFrame(std::string_view Sealed,
+Result<wire::CallFrameT> decodeCallFrame(std::string_view SealedFrame,
                                          const Safeguards &Guards) {
-  return unpackFrame<wire::CallFrame>(Sealed, Guards);
+  return unpackFrame<wire::CallFrame>(SealedFrame, Guards);
 }
 
 std::vector<std::unique_ptr<wire::HeaderT>> toWire(const HeaderList &Headers) {
-  std::vector<std::unique_ptr<wire::HeaderT>> Out;
-  for (const HeaderField &One : Headers) {
-    Out.push_back(std::make_unique<wire::HeaderT>());
-    Out.back()->name = One.Name;
-    Out.back()->value = One.Value;
+  std::vector<std::unique_ptr<wire::HeaderT>> WireHeaders;
+  for (const HeaderField &Field : Headers) {
+    WireHeaders.push_back(std::make_unique<wire::HeaderT>());
+    WireHeaders.back()->name = Field.Name;
+    WireHeaders.back()->value = Field.Value;
   }
-  return Out;
+  return WireHeaders;
 }
 
 HeaderList
-fromWire(const std::vector<std::unique_ptr<wire::HeaderT>> &Headers) {
-  HeaderList Out;
-  for (const auto &One : Headers)
-    Out.push_back({One->name, One->value});
-  return Out;
+fromWire(const std::vector<std::unique_ptr<wire::HeaderT>> &WireHeaders) {
+  HeaderList Headers;
+  for (const auto &Field : WireHeaders)
+    Headers.push_back({Field->name, Field->value});
+  return Headers;
 }
 
 } // namespace hickorylift
--- a/src/calls/Message.h
+++ b/src/calls/Message.h
@@ -12,14 +12,15 @@
 #include <string_view>
 #include <vector>
 
-// What a call consists of, between the HTTP ends and the two deciders, Entry
-// and Gate.
+// The parts of a call as Entry, Gate and the HTTP code exchange them: request
+// and response heads, header lists, refusals, health responses, and the frames
+// between entry and gate.
 
 namespace hickorylift {
 
-/// A call's identity between entry and gate.
+/// Identifies a call between entry and gate.
 struct CallId {
-  /// The entry's incarnation: another after each start of its process.
+  /// The entry's incarnation, which differs after each start of its process.
   uint64_t Entry = 0;
   uint64_t Seq = 0;
 
@@ -33,15 +34,18 @@
 };
 using HeaderList = std::vector<HeaderField>;
 
-/// Sets one field, in place of any of that name.
+/// Sets a header field and removes all earlier fields of that name.
 void setHeader(HeaderList &Headers, const std::string &Name,
                const std::string &Value);
-/// Case-insensitive; empty if absent.
+/// The value of the first field of that name, compared without regard to case.
+/// Empty if there is none.
 std::string findHeader(const HeaderList &Headers, std::string_view Name);
-/// A field that holds whole milliseconds; nothing where it does not.
+/// The value of a field that holds whole milliseconds. Nullopt if the field is
+/// missing or is not such a number.
 std::optional<Millis> findMillisHeader(const HeaderList &Headers,
                                        std::string_view Name);
-/// Without the fields that concern one connection only (RFC 9110, 7.6.1).
+/// The list without the fields that concern one connection only (RFC 9110,
+/// 7.6.1).
 HeaderList endToEndHeaders(const HeaderList &Headers);
 
 /// The header by which a caller states its deadline, as milliseconds left.
@@ -51,10 +55,10 @@
 
 struct RequestHead {
   std::string Method;
-  /// With the query.
+  /// Includes the query.
   std::string Path;
   HeaderList Headers;
-  /// Of the body, in bytes; UnknownLength if it is chunked.
+  /// Length of the body in bytes; UnknownLength if it is chunked.
   int64_t Length = 0;
 };
 
@@ -65,63 +69,69 @@
   int64_t Length = UnknownLength;
 };
 
-/// What became of a call that has no answer.
+/// What is known about the execution of a call that has no answer.
 enum class Outcome {
-  /// Proved: no byte of it reached an upstream.
+  /// Proven not executed: no byte of the call reached an upstream.
   NotRun,
-  /// It may have run, in whole or in part.
+  /// The call may have been executed, in whole or in part.
   Unknown,
 };
 
-/// Why a call has no answer, as the caller is told in the headers
+/// Why a call has no answer. The caller receives it in the response headers
 /// Hickorylift-Outcome, -Reason, -Step and -Peer.
 struct Refusal {
   Outcome CallOutcome = Outcome::NotRun;
   /// "no-route", "overload", "draining", "deadline", ...
   std::string Reason;
+  /// The processing step that failed, such as "entry" or "gate-link".
   std::string Step;
+  /// The instance at which it failed.
   std::string Peer;
-  /// When to come back; zero for no advice.
+  /// When the caller should retry; zero for no advice.
   Millis RetryAfter{0};
-  /// The HTTP status, where it is not the outcome's usual one.
+  /// The HTTP status if it is not the usual one of the outcome, otherwise zero.
   unsigned Status = 0;
 };
 
-/// What a probe finds at the address of an upstream.
+/// The result of a connection attempt to the address of an upstream.
 enum class UpstreamProbeResult {
+  /// The connection was accepted.
   Open,
-  /// Connections are refused, and all that there were have ended.
+  /// The connection was refused, and all earlier connections have ended.
   Closed,
-  /// A connection is refused while another one stands: the upstream is full, or
-  /// is ending just now.
+  /// The connection was refused while an earlier one is still open: the
+  /// upstream has no capacity for another, or is just terminating.
   Inconclusive,
 };
 
-/// What an upstream says of itself.
+/// The response of an upstream's health endpoint.
 struct HealthAnswer {
   unsigned Status = 0;
   std::string Body;
-  /// How much longer it stays cold, as a warm one need not say.
+  /// How much longer the upstream reports that it stays cold. A warm upstream
+  /// may leave this out.
   std::optional<Millis> ColdTimeLeft;
 
   bool isHealthy() const { return this->Status == 200; }
-  /// Nothing where it is not known.
+  /// The reported time, or zero for a healthy upstream that reports none.
+  /// Nullopt if it is not known.
   std::optional<Millis> coldTimeLeft() const {
     return this->ColdTimeLeft || !this->isHealthy() ? this->ColdTimeLeft
                                                     : Millis(0);
   }
 };
 
-Refusal makeRefusal(Outcome What, const std::string &Reason,
+Refusal makeRefusal(Outcome CallOutcome, const std::string &Reason,
                     const std::string &Step, const std::string &Peer);
 
-/// 503 for what was not run, 504 for what may have run, or the refusal's own.
-unsigned httpStatus(const Refusal &Why);
-const char *outcomeName(Outcome What);
+/// The status that the refusal sets, or else 503 for a call that was not run
+/// and 504 for one that may have run.
+unsigned httpStatus(const Refusal &Cause);
+const char *outcomeName(Outcome CallOutcome);
 
 std::string encodeFrame(const wire::CallFrameT &Frame);
 Result<wire::CallFrameT>
-decodeCallFrame(std::string_view Sealed,
+decodeCallFrame(std::string_view SealedFrame,
                 const Safeguards &Guards = Safeguards());
 
 template <typename PayloadT> wire::CallFrameT makeCallFrame(PayloadT Payload) {
@@ -131,7 +141,8 @@
 }
 
 std::vector<std::unique_ptr<wire::HeaderT>> toWire(const HeaderList &Headers);
-HeaderList fromWire(const std::vector<std::unique_ptr<wire::HeaderT>> &Headers);
+HeaderList
+fromWire(const std::vector<std::unique_ptr<wire::HeaderT>> &WireHeaders);
 
 } // namespace hickorylift
 
