--- a/src/calls/Body.h
+++ b/src/calls/Body.h
@@ -7,14 +7,16 @@
 #include <string>
 #include <string_view>
 
-// One direction of a call's body, by offsets, so that it can go on over
-// another link without a byte lost or doubled.
+// Transfers one direction of a call's body with flow control. Each piece
+// carries its byte offset, so the transfer can continue over another link
+// without losing or duplicating a byte. SendStream is the sender's side,
+// ReceiveStream the receiver's.
 //
-//   SendStream Out(/*Window=*/16 * 1024, /*Keep=*/32 * 1024);
-//   Out.append(Bytes);
-//   while (auto Piece = Out.next(32 * 1024)) send(*Piece);
-//   Out.credit(Consumed);          // the receiver has it; forget it
-//   Out.rewind(Received);          // new link: go on from there
+//   SendStream Stream(/*Window=*/16 * 1024, /*ReplayBytes=*/32 * 1024);
+//   Stream.append(Bytes);
+//   while (auto Piece = Stream.nextPiece(32 * 1024)) send(*Piece);
+//   Stream.credit(Consumed);     // the receiver has consumed these bytes
+//   Stream.rewind(Received);     // new link: continue from this offset
 
 namespace hickorylift {
 
@@ -26,50 +28,52 @@
     bool End = false;
   };
 
-  /// Window: how many bytes may be out without a credit. Keep: a body is held
-  /// from its first byte on until more than this has a credit, so that it can
-  /// be sent again elsewhere. A source that pauses must do so at more than Keep
-  /// bytes, or it would wait for ever for some to be forgotten.
-  explicit SendStream(uint64_t Window, uint64_t Keep = 0)
-      : Window(Window), Keep(Keep) {}
+  /// Window limits the bytes that are sent but not yet credited by the
+  /// receiver. The body is kept from its first byte until more than ReplayBytes
+  /// have been credited, so that it can be sent again to another receiver. A
+  /// source that pauses when the buffer is full must allow more than
+  /// ReplayBytes in it: up to there nothing is removed, so a source that pauses
+  /// earlier would never resume.
+  explicit SendStream(uint64_t Window, uint64_t ReplayBytes = 0)
+      : Window(Window), ReplayBytes(ReplayBytes) {}
 
-  void append(std::string_view Bytes) { this->Kept.append(Bytes); }
+  void append(std::string_view Bytes) { this->Buffer.append(Bytes); }
   void finish() { this->Finished = true; }
   bool finished() const { return this->Finished; }
 
-  /// The next piece to send, or nothing while the window is full or there is
+  /// The next piece to send, or nullopt while the window is full or there is
   /// nothing new. The last piece has End set and may be empty.
   std::optional<Piece> nextPiece(size_t MaxBytes) {
-    uint64_t Held = this->Base + this->Kept.size();
-    uint64_t Limit = std::min(Held, this->Credited + this->Window);
+    uint64_t BufferEnd = this->Base + this->Buffer.size();
+    uint64_t Limit = std::min(BufferEnd, this->Credited + this->Window);
     size_t Size =
         std::min<uint64_t>(MaxBytes, Limit - std::min(Limit, this->Sent));
-    bool End = this->Finished && this->Sent + Size == Held;
+    bool End = this->Finished && this->Sent + Size == BufferEnd;
     if ((Size == 0 && !End) || this->EndSent)
       return std::nullopt;
-    Piece Out{this->Sent, this->Kept.substr(this->Sent - this->Base, Size),
-              End};
+    Piece Next{this->Sent, this->Buffer.substr(this->Sent - this->Base, Size),
+               End};
     this->Sent += Size;
     this->EndSent = End;
-    return Out;
+    return Next;
   }
 
-  /// The receiver has consumed everything below Consumed. A value that makes
-  /// no sense is ignored: it comes from another process.
+  /// Records that the receiver has consumed all bytes below offset Consumed.
+  /// The value comes from another process; an impossible one is ignored.
   void credit(uint64_t Consumed) {
     if (Consumed <= this->Credited || Consumed > this->Sent)
       return;
     this->Credited = Consumed;
-    if (Consumed <= this->Keep)
+    if (Consumed <= this->ReplayBytes)
       return;
-    this->Kept.erase(0, Consumed - this->Base);
+    this->Buffer.erase(0, Consumed - this->Base);
     this->Base = Consumed;
   }
 
-  /// Starts over from what the receiver says it has. False if those bytes are
-  /// no longer held.
+  /// Continues from the offset up to which the receiver reports to have the
+  /// body. Returns false if the bytes from there on are no longer buffered.
   bool rewind(uint64_t Received) {
-    if (Received < this->Base || Received > this->Base + this->Kept.size())
+    if (Received < this->Base || Received > this->Base + this->Buffer.size())
       return false;
     this->Sent = Received;
     this->Credited = Received;
@@ -77,12 +81,12 @@
     return true;
   }
 
-  /// The body so far, while it is held from its first byte on.
-  std::string_view bufferedBytes() const { return this->Kept; }
+  /// The buffered bytes: the whole body so far, as long as replayable() holds.
+  std::string_view bufferedBytes() const { return this->Buffer; }
   /// Whether the body can still be sent from its first byte, to another gate.
   bool replayable() const { return this->Base == 0; }
-  /// Bytes in memory; the source should pause when this passes the window.
-  size_t bufferedSize() const { return this->Kept.size(); }
+  /// Bytes in memory; the source should pause when this exceeds its limit.
+  size_t bufferedSize() const { return this->Buffer.size(); }
   /// Whether everything was sent and consumed.
   bool isComplete() const {
     return this->EndSent && this->Credited == this->Sent;
@@ -91,10 +95,10 @@
 
 private:
   uint64_t Window;
-  uint64_t Keep;
-  // Kept holds the bytes from Base on; those below Sent are out, and those
-  // below Credited have arrived.
-  std::string Kept;
+  uint64_t ReplayBytes;
+  // Buffer holds the bytes from offset Base on. Bytes below Sent have been
+  // sent, and bytes below Credited have been consumed by the receiver.
+  std::string Buffer;
   uint64_t Base = 0;
   uint64_t Credited = 0;
   uint64_t Sent = 0;
@@ -104,15 +108,15 @@
 
 class ReceiveStream {
 public:
-  /// What is new in a piece. Nullopt for a piece that leaves a gap: the stream
-  /// cannot be whole any more.
+  /// Returns the bytes of a piece that were not received before. Nullopt if
+  /// there is a gap before the piece: the stream cannot be completed any more.
   std::optional<std::string_view> accept(uint64_t Offset,
                                          std::string_view Bytes, bool End) {
     if (Offset > this->Received)
       return std::nullopt;
-    uint64_t Known = this->Received - Offset;
-    std::string_view New =
-        Known >= Bytes.size() ? std::string_view() : Bytes.substr(Known);
+    uint64_t Duplicate = this->Received - Offset;
+    std::string_view New = Duplicate >= Bytes.size() ? std::string_view()
+                                                     : Bytes.substr(Duplicate);
     this->Received += New.size();
     if (End && Offset + Bytes.size() == this->Received)
       this->Ended = true;
