--- a/src/calls/Dialect.h
+++ b/src/calls/Dialect.h
@@ -4,37 +4,42 @@
 #include <string>
 
 // A Dialect names the header fields that callers, nodes and upstreams of a
-// deployment use besides those of HTTP. The default is the product's own; an
-// adapter may hand in another. An empty name means that the deployment has no
-// such field, and what hangs on it is off.
+// deployment use in addition to those of HTTP. The defaults are the product's
+// own names; an adapter for another platform may supply others. An empty name
+// means that the deployment has no such field, and the feature that depends on
+// it is off.
+//
+//   Dialect Names;
+//   Names.RequestId = "Request-Id";
+//   std::string Id = findHeader(Head.Headers, Names.RequestId);
 
 namespace hickorylift {
 
 struct Dialect {
   /// The caller's id of one attempt. The upstream repeats it in its answer, so
-  /// an answer that belongs to another request is recognised.
+  /// that an answer to another request is detected.
   std::string RequestId;
   /// Milliseconds that the caller, or the next hop, may still take.
   std::string Budget = "Hickorylift-Budget-Ms";
-  /// The service of the instance at which a request entered the mesh. Set by
-  /// the entry, whatever the caller wrote.
+  /// The service of the instance at which a request entered the mesh. The entry
+  /// always sets it and replaces any value from the caller.
   std::string Origin;
-  /// Who asks, where callers say so: requests of different customers are not
-  /// the same one.
+  /// The customer on whose behalf the caller asks, if callers state it.
+  /// Requests of different customers are never treated as the same request.
   std::string Customer;
   /// The upstream that a request is meant for; any other refuses it with 421.
   std::string ExpectedUpstream;
   /// On an answer: the upstream did not run the request.
   std::string NotRun;
   /// On every answer that the upstream itself produced. A success without it
-  /// came from somewhere else.
+  /// came from another program.
   std::string UpstreamMark;
   /// On an answer of the health endpoint: milliseconds that the upstream stays
   /// cold.
   std::string ColdTimeLeft = "Hickorylift-Cold-Left-Ms";
-  /// Whether Retry-After may have fractions. HTTP knows whole seconds only.
+  /// Whether Retry-After may have fractions. HTTP allows whole seconds only.
   bool FractionalRetryAfter = false;
-  /// Path at which the platform asks whether callers may be sent here.
+  /// Path at which the platform asks whether callers may be sent to this node.
   std::string ReadyPath = "/ready";
 };
 
