--- a/src/calls/Entry.cpp
+++ b/src/calls/Entry.cpp
@@ -5,254 +5,265 @@
 
 #include <algorithm>
 
-// A call is at one gate at a time. It goes to another only if the gate that
-// had it said "not run", or if the call was never sent, or if its route says
-// that it may run twice and nothing of its answer has reached the caller. A
-// lost link proves nothing: the call is then Searching, and the same
+// The life of a call, from the choice of a gate to its end.
+//
+// A call is at one gate at a time. It is offered to another only if the gate
+// that had it reported "not run", if the call was never sent, or if its route
+// allows it to run twice and no part of its answer has reached the caller. A
+// lost link proves nothing: the call is then in state Searching, and the same
 // incarnation of the same gate is asked about it over a new link. Another
-// incarnation has forgotten it, and the outcome is unknown.
+// incarnation does not remember the call, so its outcome is unknown.
 //
-// Only refusals of the gate are retried here, never an answer, whatever its
-// status: if the answer is a refusal from deeper down, the hop next to that
-// refusal has tried already, and a second try at each of thirteen hops would
-// multiply.
+// Only refusals by the gate are retried here, never an answer, whatever its
+// status. If the answer is a refusal from a service further down the call
+// chain, the hop next to that refusal has already retried, and a second try at
+// each of thirteen hops would multiply.
 
 namespace hickorylift {
 
 namespace {
 
-const char UpstreamReason[] = "upstream-";
+const char UpstreamReasonPrefix[] = "upstream-";
 const char UpstreamCrashed[] = "upstream-crashed";
 const char Quarantined[] = "quarantined";
 const char BesideSuspect[] = "beside-suspect";
 
-// Whether the call may have come to an upstream before it was refused. One that
-// a gate or a link turned away cost no upstream anything, and neither did one
-// to which no connection could be made.
-bool reachedUpstream(const Refusal &Why) {
-  bool NotMade = Why.Reason == "upstream-unreachable" ||
-                 Why.Reason == "upstream-timeout" ||
-                 Why.Reason == "upstream-gone";
-  return Why.CallOutcome == Outcome::Unknown ||
-         (Why.Reason.rfind(UpstreamReason, 0) == 0 && !NotMade);
+// Whether the call may have reached an upstream before it was refused. A call
+// that was refused by a gate or failed at a link cost no upstream anything, and
+// neither did one for which no connection to the upstream could be made.
+bool reachedUpstream(const Refusal &Cause) {
+  bool NotConnected = Cause.Reason == "upstream-unreachable" ||
+                      Cause.Reason == "upstream-timeout" ||
+                      Cause.Reason == "upstream-gone";
+  return Cause.CallOutcome == Outcome::Unknown ||
+         (Cause.Reason.rfind(UpstreamReasonPrefix, 0) == 0 && !NotConnected);
 }
 
-// Whether a refusal shows the gate, its link or its upstream to be out of
-// order. One for want of room does not.
-bool blamesGate(const Refusal &Why) {
-  return Why.Reason.rfind("gate-", 0) == 0 ||
-         Why.Reason.rfind(UpstreamReason, 0) == 0;
+// Whether a refusal indicates a fault of the gate, its link or its upstream. A
+// refusal for lack of capacity does not.
+bool blamesGate(const Refusal &Cause) {
+  return Cause.Reason.rfind("gate-", 0) == 0 ||
+         Cause.Reason.rfind(UpstreamReasonPrefix, 0) == 0;
 }
 
-Chooser::Want wantOf(const RequestHead &Head, const Route &Taken) {
-  Chooser::Want Out;
-  Out.BodyBytes = static_cast<uint64_t>(std::max<int64_t>(0, Head.Length));
-  Out.Target = Taken.TargetLatency;
-  Out.Route = Taken.Name;
-  return Out;
+Chooser::Want makeChooserWant(const RequestHead &Head,
+                              const Route &MatchedRoute) {
+  Chooser::Want Want;
+  Want.BodyBytes = static_cast<uint64_t>(std::max<int64_t>(0, Head.Length));
+  Want.Target = MatchedRoute.TargetLatency;
+  Want.Route = MatchedRoute.Name;
+  return Want;
 }
 
 } // namespace
 
 Entry::Entry(Options GivenOpts, Hooks Hooks, const Membership &Fleet)
     : Opts(std::move(GivenOpts)), Hook(std::move(Hooks)), Fleet(Fleet),
-      Choose(this->Opts.ChooserOptions, this->Opts.DataCentre, this->Opts.Self,
-             this->Opts.Seed),
-      Rank(this->Opts.RankOptions, this->Opts.Seed) {}
+      GateChooser(this->Opts.ChooserOptions, this->Opts.DataCentre,
+                  this->Opts.Self, this->Opts.Seed),
+      CallRank(this->Opts.RankOptions, this->Opts.Seed) {}
 
-Refusal Entry::refusal(Outcome What, const std::string &Reason,
+Refusal Entry::refusal(Outcome CallOutcome, const std::string &Reason,
                        const std::string &Step, const std::string &Peer) const {
-  return makeRefusal(What, Reason, Step, Peer.empty() ? this->Opts.Self : Peer);
+  return makeRefusal(CallOutcome, Reason, Step,
+                     Peer.empty() ? this->Opts.Self : Peer);
 }
 
-// To answer one caller may end the calls of others: an answer that closes its
-// connection takes the requests behind it along. So whoever goes through
-// several calls looks each up again.
-Entry::Call *Entry::find(CallerId Caller) {
+// Answering one caller may end the calls of others: an answer that closes its
+// connection also ends the requests that follow on that connection. So a loop
+// over several calls must look up each one again.
+Entry::PendingCall *Entry::findCall(CallerId Caller) {
   auto Found = this->Calls.find(Caller);
   return Found == this->Calls.end() ? nullptr : &Found->second;
 }
 
-void Entry::note(const char *What, const Call &Of, const Refusal &Why,
-                 TimePoint Now) const {
-  CallEvent Out;
-  Out.Name = What;
-  Out.RequestId = findHeader(Of.Head.Headers, this->Opts.HeaderNames.RequestId);
-  Out.Route = Of.Taken ? Of.Taken->Name : "";
-  Out.Gate = Of.Gate.empty() ? Why.Peer : Of.Gate;
-  Out.Reason = Why.Reason;
-  Out.Step = Why.Step;
-  Out.Version = Of.Under ? Of.Under->stamp().Version : 0;
-  Out.Offers = Of.Offers;
-  Out.Age = toMillis(Now - Of.CameAt);
-  Out.TimeLeft = toMillis(Of.Deadline - Now);
-  this->Hook.LogEvent(Out, Now);
+void Entry::logEvent(const char *Name, const PendingCall &Call,
+                     const Refusal &Cause, TimePoint Now) const {
+  CallEvent Event;
+  Event.Name = Name;
+  Event.RequestId =
+      findHeader(Call.Head.Headers, this->Opts.HeaderNames.RequestId);
+  Event.Route = Call.MatchedRoute ? Call.MatchedRoute->Name : "";
+  Event.Gate = Call.Gate.empty() ? Cause.Peer : Call.Gate;
+  Event.Reason = Cause.Reason;
+  Event.Step = Cause.Step;
+  Event.Version = Call.PinnedConfig ? Call.PinnedConfig->stamp().Version : 0;
+  Event.Offers = Call.Offers;
+  Event.Age = toMillis(Now - Call.ReceivedAt);
+  Event.TimeLeft = toMillis(Call.Deadline - Now);
+  this->Hook.LogEvent(Event, Now);
 }
 
 void Entry::membersChanged(TimePoint) {
   std::set<std::string> Listed;
-  if (this->InForce)
-    for (const auto &[Name, One] : this->InForce->services())
-      for (const Instance *Up : this->Fleet.upstreams(Name)) {
-        Listed.insert(Up->Name);
-        this->Choose.listed(*Up);
+  if (this->ActiveConfig)
+    for (const auto &[Name, Service] : this->ActiveConfig->services())
+      for (const Instance *Gate : this->Fleet.upstreams(Name)) {
+        Listed.insert(Gate->Name);
+        this->GateChooser.listed(*Gate);
       }
-  this->Choose.keepOnly(Listed);
+  this->GateChooser.keepOnly(Listed);
 }
 
-// A keyed call has one place to go, on trial or not: the gate that remembers
-// the key.
-const Instance *Entry::chooseGate(const Call &One, TimePoint Now) {
-  if (!One.Key.empty() && !One.Idempotent) {
-    const Instance *Home =
-        keyHome(One.Key, this->Fleet.upstreams(One.Target->Name));
-    bool Usable =
-        Home && !One.Tried.count(Home->Name) && !this->Fleet.isEvacuated(*Home);
+// A call with an idempotency key goes only to the key's home, the gate that
+// remembers the key, whether or not the request is on trial.
+const Instance *Entry::chooseGate(const PendingCall &Call, TimePoint Now) {
+  if (!Call.IdempotencyKey.empty() && !Call.Idempotent) {
+    const Instance *Home = keyHome(
+        Call.IdempotencyKey, this->Fleet.upstreams(Call.TargetService->Name));
+    bool Usable = Home && !Call.TriedGates.count(Home->Name) &&
+                  !this->Fleet.isEvacuated(*Home);
     return Usable ? Home : nullptr;
   }
-  if (One.OnTrial)
-    return this->trialGate(One, Now);
-  return this->Choose.pick(this->Fleet.openUpstreams(One.Target->Name),
-                           One.Tried, Now, wantOf(One.Head, *One.Taken));
+  if (Call.OnTrial)
+    return this->trialGate(Call, Now);
+  return this->GateChooser.pick(
+      this->Fleet.openUpstreams(Call.TargetService->Name), Call.TriedGates, Now,
+      makeChooserWant(Call.Head, *Call.MatchedRoute));
 }
 
-// A request that has one crash left, or has been held for its term, is tried at
-// one place. All nodes choose the same one, so that many who send it at once
-// cannot crash an upstream each.
-const Instance *Entry::trialGate(const Call &One, TimePoint Now) const {
+// A request that is one crash short of quarantine, or whose quarantine term is
+// over, is tried at one gate. All nodes choose the same gate, so that many
+// nodes that send the request at once cannot each crash an upstream.
+const Instance *Entry::trialGate(const PendingCall &Call, TimePoint Now) const {
   std::vector<const Instance *> Open;
-  for (const Instance *Up : this->Fleet.openUpstreams(One.Target->Name))
-    if (this->Choose.isOpen(*Up, Now))
-      Open.push_back(Up);
-  const Instance *Home = keyHome(One.Print.text(), Open);
-  return Home && One.Tried.count(Home->Name) ? nullptr : Home;
-}
-
-// A body that is read ahead is whole here. Of a longer one the gate judges, and
-// of one whose length is not known the bytes do not count, here or there.
-Quarantine::Verdict Entry::judge(Call &One, TimePoint Now) const {
-  bool HasBody = One.Head.Length > 0;
-  if (HasBody && !One.Request.finished())
+  for (const Instance *Gate :
+       this->Fleet.openUpstreams(Call.TargetService->Name))
+    if (this->GateChooser.isOpen(*Gate, Now))
+      Open.push_back(Gate);
+  const Instance *Home = keyHome(Call.RequestFingerprint.text(), Open);
+  return Home && Call.TriedGates.count(Home->Name) ? nullptr : Home;
+}
+
+// A body of up to GatherBytes is complete at this point and counts in the
+// fingerprint. A request with a longer one is checked by the gate instead. The
+// bytes of a body of unknown length count neither here nor at the gate.
+Quarantine::Verdict Entry::checkQuarantine(PendingCall &Call,
+                                           TimePoint Now) const {
+  bool HasBody = Call.Head.Length > 0;
+  if (HasBody && !Call.Request.finished())
     return {};
-  One.Print = fingerprintOf(
-      One.Head, findHeader(One.Head.Headers, this->Opts.HeaderNames.Customer),
-      HasBody ? One.Request.bufferedBytes() : std::string_view());
-  return this->Hook.CheckQuarantine(One.Print, Now);
-}
-
-void Entry::route(CallerId Caller, TimePoint Now) {
-  Call &One = this->Calls.at(Caller);
-  Quarantine::Verdict Known = this->judge(One, Now);
-  if (Known.What == Quarantine::Standing::Held) {
-    Refusal Why = this->refusal(Outcome::NotRun, Quarantined, StepEntry, "");
-    Why.RetryAfter = Known.ComeBack;
-    return this->giveUp(Caller, Why, Now);
+  Call.RequestFingerprint = fingerprintOf(
+      Call.Head, findHeader(Call.Head.Headers, this->Opts.HeaderNames.Customer),
+      HasBody ? Call.Request.bufferedBytes() : std::string_view());
+  return this->Hook.CheckQuarantine(Call.RequestFingerprint, Now);
+}
+
+void Entry::routeCall(CallerId Caller, TimePoint Now) {
+  PendingCall &Call = this->Calls.at(Caller);
+  Quarantine::Verdict Decision = this->checkQuarantine(Call, Now);
+  if (Decision.What == Quarantine::Standing::Held) {
+    Refusal Cause = this->refusal(Outcome::NotRun, Quarantined, StepEntry, "");
+    Cause.RetryAfter = Decision.ComeBack;
+    return this->giveUp(Caller, Cause, Now);
   }
-  One.OnTrial = Known.What == Quarantine::Standing::Trial;
-  const Instance *Gate = this->chooseGate(One, Now);
+  Call.OnTrial = Decision.What == Quarantine::Standing::Trial;
+  const Instance *Gate = this->chooseGate(Call, Now);
   if (Gate)
-    return this->assign(Caller, One, *Gate, Now);
-  if (this->returnToLeft(Caller, One, Now))
+    return this->assign(Caller, Call, *Gate, Now);
+  if (this->returnToDetachedRun(Caller, Call, Now))
     return;
-  if (One.LastRefusal)
-    return this->giveUp(Caller, *One.LastRefusal, Now);
-  const auto &Open = this->Fleet.openUpstreams(One.Target->Name);
-  std::optional<Millis> Soonest = this->Choose.soonest(Open, Now);
-  bool Listed = !this->Fleet.upstreams(One.Target->Name).empty();
+  if (Call.LastRefusal)
+    return this->giveUp(Caller, *Call.LastRefusal, Now);
+  const auto &Open = this->Fleet.openUpstreams(Call.TargetService->Name);
+  std::optional<Millis> NextFree = this->GateChooser.soonest(Open, Now);
+  bool Listed = !this->Fleet.upstreams(Call.TargetService->Name).empty();
   const char *Reason = !Listed        ? "no-upstream"
                        : Open.empty() ? "evacuated"
-                       : Soonest      ? "overload"
+                       : NextFree     ? "overload"
                                       : "no-gate";
-  Refusal Why = this->refusal(Outcome::NotRun, Reason, "choose-gate", "");
-  Why.RetryAfter = Soonest.value_or(this->Opts.RetryAfter);
-  this->giveUp(Caller, Why, Now);
+  Refusal Cause = this->refusal(Outcome::NotRun, Reason, "choose-gate", "");
+  Cause.RetryAfter = NextFree.value_or(this->Opts.RetryAfter);
+  this->giveUp(Caller, Cause, Now);
 }
 
-void Entry::assign(CallerId Caller, Call &One, const Instance &Gate,
+void Entry::assign(CallerId Caller, PendingCall &Call, const Instance &Gate,
                    TimePoint Now) {
-  One.Now = State::Connecting;
-  One.Gate = Gate.Name;
-  One.Tried.insert(Gate.Name);
-  One.StartedAt = Now;
-  ++One.Offers;
-  // A new id for each gate: a late copy at the last one is never this one.
-  One.Id = {this->Opts.Incarnation, ++this->LastSeq};
-  this->BySeq[One.Id.Seq] = Caller;
-  this->Choose.started(Gate.Name);
-  Link &On = this->Links[Gate.Name];
-  // What was lost before concerns nobody any more: a new search starts afresh.
-  if (On.Calls.empty())
-    On.LostAt.reset();
-  On.Calls.insert(Caller);
-  On.UsedAt = Now;
-  if (On.Up)
-    this->open(Caller, One, /*Resume=*/false, Now);
+  Call.CurrentState = State::Connecting;
+  Call.Gate = Gate.Name;
+  Call.TriedGates.insert(Gate.Name);
+  Call.AssignedAt = Now;
+  ++Call.Offers;
+  // Each gate gets a new id, so that a late copy of the call at the previous
+  // gate is never taken for this one.
+  Call.Id = {this->Opts.Incarnation, ++this->LastSeq};
+  this->CallerBySeq[Call.Id.Seq] = Caller;
+  this->GateChooser.started(Gate.Name);
+  GateLink &Link = this->Links[Gate.Name];
+  // No call is left from an earlier loss of this link, so a new search gets its
+  // full time.
+  if (Link.Calls.empty())
+    Link.LostAt.reset();
+  Link.Calls.insert(Caller);
+  Link.LastUsedAt = Now;
+  if (Link.Up)
+    this->sendOpen(Caller, Call, /*Resume=*/false, Now);
   else
-    this->connect(Gate.Name, On, Now);
+    this->connect(Gate.Name, Link, Now);
 }
 
-wire::OpenT Entry::openFrame(const Call &One, const CallId &Id,
-                             const std::string &Gate, TimePoint Now) const {
+wire::OpenT Entry::makeOpenFrame(const PendingCall &Call, const CallId &Id,
+                                 const std::string &Gate, TimePoint Now) const {
   wire::OpenT Open;
   Open.seq = Id.Seq;
   Open.entry = Id.Entry;
-  Open.answer_received = One.Response.received();
-  Open.have_head = One.HaveHead;
-  Open.service = One.Target->Name;
-  if (const Instance *To = this->Fleet.find(Gate))
-    Open.upstream = To->Upstream;
+  Open.answer_received = Call.Response.received();
+  Open.have_head = Call.HaveHead;
+  Open.service = Call.TargetService->Name;
+  if (const Instance *Target = this->Fleet.find(Gate))
+    Open.upstream = Target->Upstream;
   Open.budget_ms = static_cast<uint32_t>(
-      std::max<int64_t>(0, toMillis(One.Deadline - Now).count()));
+      std::max<int64_t>(0, toMillis(Call.Deadline - Now).count()));
   return Open;
 }
 
-void Entry::open(CallerId, Call &One, bool Resume, TimePoint Now) {
-  wire::OpenT Open = this->openFrame(One, One.Id, One.Gate, Now);
+void Entry::sendOpen(CallerId, PendingCall &Call, bool Resume, TimePoint Now) {
+  wire::OpenT Open = this->makeOpenFrame(Call, Call.Id, Call.Gate, Now);
   Open.resume = Resume;
   if (!Resume) {
-    Open.route = One.Taken->Name;
+    Open.route = Call.MatchedRoute->Name;
     Open.target_ms = static_cast<uint32_t>(
-        std::max<int64_t>(0, toMillis(One.TargetAt - Now).count()));
-    Open.method = One.Head.Method;
-    Open.path = One.Head.Path;
-    Open.headers = toWire(One.Head.Headers);
-    Open.idempotent = One.Idempotent;
-    Open.idempotency_key = One.Key;
-    Open.length = One.Head.Length;
-    One.HoldsBody = One.Gate != this->Opts.Self &&
-                    One.Head.Length > this->Opts.ImmediateBodyBytes;
-    Open.holds_body = One.HoldsBody;
-    Open.rank = this->Rank.at(Now);
-    Open.crashes = static_cast<uint8_t>(One.Crashes);
-    Open.caller_class = One.Class;
-    Open.limit = One.Taken->Bound ? One.Taken->Bound->Name : "";
-    auto Class = One.Taken->ClassPriority.find(One.Class);
-    Open.priority = Class == One.Taken->ClassPriority.end()
-                        ? One.Taken->Priority
+        std::max<int64_t>(0, toMillis(Call.LatencyTargetAt - Now).count()));
+    Open.method = Call.Head.Method;
+    Open.path = Call.Head.Path;
+    Open.headers = toWire(Call.Head.Headers);
+    Open.idempotent = Call.Idempotent;
+    Open.idempotency_key = Call.IdempotencyKey;
+    Open.length = Call.Head.Length;
+    Call.WithholdsBody = Call.Gate != this->Opts.Self &&
+                         Call.Head.Length > this->Opts.ImmediateBodyBytes;
+    Open.holds_body = Call.WithholdsBody;
+    Open.rank = this->CallRank.at(Now);
+    Open.crashes = static_cast<uint8_t>(Call.Crashes);
+    Open.caller_class = Call.CallerClass;
+    Open.limit = Call.MatchedRoute->Bound ? Call.MatchedRoute->Bound->Name : "";
+    auto Class = Call.MatchedRoute->ClassPriority.find(Call.CallerClass);
+    Open.priority = Class == Call.MatchedRoute->ClassPriority.end()
+                        ? Call.MatchedRoute->Priority
                         : Class->second;
   }
-  One.Now = State::Sent;
-  One.SentAt = Now;
-  One.GateIncarnation = this->Links[One.Gate].Incarnation;
-  this->Hook.Send(One.Gate, makeCallFrame(std::move(Open)));
+  Call.CurrentState = State::Sent;
+  Call.SentAt = Now;
+  Call.GateIncarnation = this->Links[Call.Gate].Incarnation;
+  this->Hook.Send(Call.Gate, makeCallFrame(std::move(Open)));
   if (!Resume)
-    this->sendBody(One);
+    this->sendBody(Call);
 }
 
-void Entry::sendBody(Call &One) {
-  if (One.Now != State::Sent || One.HoldsBody)
+void Entry::sendBody(PendingCall &Call) {
+  if (Call.CurrentState != State::Sent || Call.WithholdsBody)
     return;
-  // Two pieces to a window: the credit for one comes while the other is on its
+  // Two pieces per window: the credit for one arrives while the other is on its
   // way.
-  auto Most = std::min<size_t>(this->Opts.MaxPieceBytes,
-                               this->Opts.BodyWindowBytes / 2);
-  while (auto Piece = One.Request.nextPiece(Most)) {
+  auto MaxBytes = std::min<size_t>(this->Opts.MaxPieceBytes,
+                                   this->Opts.BodyWindowBytes / 2);
+  while (auto Piece = Call.Request.nextPiece(MaxBytes)) {
     wire::DataT Data;
-    Data.seq = One.Id.Seq;
+    Data.seq = Call.Id.Seq;
     Data.offset = Piece->Offset;
     Data.bytes.assign(Piece->Bytes.begin(), Piece->Bytes.end());
     Data.end = Piece->End;
-    this->Hook.Send(One.Gate, makeCallFrame(std::move(Data)));
+    this->Hook.Send(Call.Gate, makeCallFrame(std::move(Data)));
   }
 }
 
@@ -260,12 +271,12 @@
   auto Found = this->Calls.find(Caller);
   if (Found == this->Calls.end())
     return;
-  Call &One = Found->second;
-  One.Request.append(Bytes);
-  this->sendBody(One);
-  if (!One.RequestPaused &&
-      One.Request.bufferedSize() >= this->Opts.ReadAheadBytes) {
-    One.RequestPaused = true;
+  PendingCall &Call = Found->second;
+  Call.Request.append(Bytes);
+  this->sendBody(Call);
+  if (!Call.RequestPaused &&
+      Call.Request.bufferedSize() >= this->Opts.ReadAheadBytes) {
+    Call.RequestPaused = true;
     this->Hook.PauseRequest(Caller, true);
   }
 }
@@ -276,13 +287,13 @@
     return;
   Found->second.Request.finish();
   if (Found->second.Offers == 0)
-    return this->route(Caller, Now);
+    return this->routeCall(Caller, Now);
   this->sendBody(Found->second);
 }
 
 void Entry::callerConsumed(CallerId Caller, uint64_t Total, TimePoint) {
   auto Found = this->Calls.find(Caller);
-  if (Found == this->Calls.end() || Found->second.Now != State::Sent)
+  if (Found == this->Calls.end() || Found->second.CurrentState != State::Sent)
     return;
   wire::CreditT Credit;
   Credit.seq = Found->second.Id.Seq;
@@ -294,29 +305,30 @@
   auto Found = this->Calls.find(Caller);
   if (Found == this->Calls.end())
     return;
-  if (Found->second.Now == State::Sent)
+  if (Found->second.CurrentState == State::Sent)
     this->cancel(Found->second.Gate, Found->second.Id.Seq, "caller-gone");
   ++this->Counts.Aborted;
-  Refusal Why;
-  Why.Reason = "caller-gone";
-  this->note("caller-gone", Found->second, Why, Now);
+  Refusal Cause;
+  Cause.Reason = "caller-gone";
+  this->logEvent("caller-gone", Found->second, Cause, Now);
   this->finish(Caller, Now);
 }
 
-void Entry::leaveGate(CallerId Caller, Call &One, bool Answered,
+void Entry::leaveGate(CallerId Caller, PendingCall &Call, bool Answered,
                       TimePoint Now) {
-  if (One.Gate.empty())
+  if (Call.Gate.empty())
     return;
-  this->Choose.ended(One.Gate, Answered, Now - One.StartedAt, Now);
-  Link &On = this->Links[One.Gate];
-  On.Calls.erase(Caller);
-  On.UsedAt = Now;
-  // The link is lost, and with it the way to say that nobody waits any more.
-  bool MayRun = One.Now == State::Searching;
-  if (MayRun && On.Orphans.size() < this->Opts.MaxAbandonedCalls)
-    On.Orphans.push_back(One.Id.Seq);
-  this->BySeq.erase(One.Id.Seq);
-  One.Gate.clear();
+  this->GateChooser.ended(Call.Gate, Answered, Now - Call.AssignedAt, Now);
+  GateLink &Link = this->Links[Call.Gate];
+  Link.Calls.erase(Caller);
+  Link.LastUsedAt = Now;
+  // The link is lost, so only over the next one can the gate be notified that
+  // no caller waits for the call any more.
+  bool MayRun = Call.CurrentState == State::Searching;
+  if (MayRun && Link.AbandonedSeqs.size() < this->Opts.MaxAbandonedCalls)
+    Link.AbandonedSeqs.push_back(Call.Id.Seq);
+  this->CallerBySeq.erase(Call.Id.Seq);
+  Call.Gate.clear();
 }
 
 void Entry::cancel(const std::string &Gate, uint64_t Seq, const char *Reason) {
@@ -328,36 +340,37 @@
 
 void Entry::finish(CallerId Caller, TimePoint Now) {
   auto Found = this->Calls.find(Caller);
-  this->dropLeft(Found->second);
+  this->dropDetachedRun(Found->second);
   this->leaveGate(Caller, Found->second, /*Answered=*/true, Now);
   this->Calls.erase(Found);
 }
 
-void Entry::refuse(CallerId Caller, const Refusal &Why) {
-  ++this->Counts.RefusedBy[Why.Reason];
-  if (Why.CallOutcome == Outcome::Unknown)
+void Entry::refuse(CallerId Caller, const Refusal &Cause) {
+  ++this->Counts.RefusedBy[Cause.Reason];
+  if (Cause.CallOutcome == Outcome::Unknown)
     ++this->Counts.Unknown;
-  this->Hook.Refuse(Caller, Why);
+  this->Hook.Refuse(Caller, Cause);
 }
 
-void Entry::giveUp(CallerId Caller, const Refusal &Why, TimePoint Now) {
-  Call &One = this->Calls.at(Caller);
-  bool HaveHead = One.HaveHead;
+void Entry::giveUp(CallerId Caller, const Refusal &Cause, TimePoint Now) {
+  PendingCall &Call = this->Calls.at(Caller);
+  bool HaveHead = Call.HaveHead;
   // An idempotent call may have run at an earlier gate, whatever the last one
-  // says: "not run" would not be true of it.
+  // reports, so "not run" would be wrong.
   bool RanEarlier =
-      One.LastRefusal && One.LastRefusal->CallOutcome == Outcome::Unknown;
-  Refusal Final = RanEarlier ? *One.LastRefusal : Why;
-  bool MayComeBack = Final.CallOutcome == Outcome::NotRun && Final.Status == 0;
-  if (MayComeBack && Final.RetryAfter.count() == 0)
+      Call.LastRefusal && Call.LastRefusal->CallOutcome == Outcome::Unknown;
+  Refusal Final = RanEarlier ? *Call.LastRefusal : Cause;
+  bool MayRetry = Final.CallOutcome == Outcome::NotRun && Final.Status == 0;
+  if (MayRetry && Final.RetryAfter.count() == 0)
     Final.RetryAfter = this->Opts.RetryAfter;
-  const char *What = HaveHead                                ? "call-broken"
-                     : Final.CallOutcome == Outcome::Unknown ? "call-unknown"
-                                                             : "call-refused";
-  this->note(What, One, Final, Now);
-  this->Hook.CallFinished(Now - One.CameAt, /*Answered=*/false);
-  this->dropLeft(One);
-  this->leaveGate(Caller, One, !blamesGate(Why), Now);
+  const char *EventName = HaveHead ? "call-broken"
+                          : Final.CallOutcome == Outcome::Unknown
+                              ? "call-unknown"
+                              : "call-refused";
+  this->logEvent(EventName, Call, Final, Now);
+  this->Hook.CallFinished(Now - Call.ReceivedAt, /*Answered=*/false);
+  this->dropDetachedRun(Call);
+  this->leaveGate(Caller, Call, !blamesGate(Cause), Now);
   this->Calls.erase(Caller);
   if (HaveHead) {
     ++this->Counts.Aborted;
@@ -366,104 +379,112 @@
   this->refuse(Caller, Final);
 }
 
-bool Entry::mayTryAnother(Call &One, const Refusal &Why, TimePoint Now) {
-  bool Harmless = Why.CallOutcome == Outcome::NotRun || One.Idempotent ||
-                  !this->Opts.Guards.RetryOnlyHarmless;
-  bool Reached = reachedUpstream(Why);
-  One.Attempts += Reached ? 1 : 0;
-  One.Crashes += Why.Reason == UpstreamCrashed ? 1 : 0;
-  // After a crash several suspects look for a gate at once, and nobody refused
-  // this one for want of room. As many more as a call may have.
-  if (Why.Reason == BesideSuspect && One.Besides++ < this->Opts.MaxOffers)
-    --One.Offers;
-  if (!Harmless || One.HaveHead || !One.Request.replayable() ||
-      Now >= One.Deadline || One.Attempts >= One.Taken->attempts() ||
-      One.Offers >= this->Opts.MaxOffers ||
-      One.Crashes >= this->Opts.MaxCrashes || Why.Reason == Quarantined)
+bool Entry::mayRetry(PendingCall &Call, const Refusal &Cause, TimePoint Now) {
+  bool SafeToRepeat = Cause.CallOutcome == Outcome::NotRun || Call.Idempotent ||
+                      !this->Opts.Guards.RetryOnlyHarmless;
+  bool ReachedUpstream = reachedUpstream(Cause);
+  Call.Attempts += ReachedUpstream ? 1 : 0;
+  Call.Crashes += Cause.Reason == UpstreamCrashed ? 1 : 0;
+  // After a crash several suspects look for a gate at the same time. A gate
+  // that is running another suspect has not refused this one for lack of
+  // capacity, so the offer does not count, up to MaxOffers times.
+  if (Cause.Reason == BesideSuspect &&
+      Call.SuspectRefusals++ < this->Opts.MaxOffers)
+    --Call.Offers;
+  if (!SafeToRepeat || Call.HaveHead || !Call.Request.replayable() ||
+      Now >= Call.Deadline || Call.Attempts >= Call.MatchedRoute->attempts() ||
+      Call.Offers >= this->Opts.MaxOffers ||
+      Call.Crashes >= this->Opts.MaxCrashes || Cause.Reason == Quarantined)
     return false;
-  // Another would refuse it too: these concern the call and not the gate.
-  if (Why.Status != 0)
+  // Refusals with a status of their own concern the call and not the gate, so
+  // another gate would refuse it as well.
+  if (Cause.Status != 0)
     return false;
-  // The budget guards upstreams. A call that none of them saw is still to be
-  // tried for the first time.
-  return !Reached || this->budgetOf(One).retry(Now);
+  // The retry budget protects upstreams. A call that has reached none of them
+  // is still on its first try.
+  return !ReachedUpstream || this->retryBudget(Call).retry(Now);
 }
 
-// No node knows what the others spend. So each has a fixed part of the whole: a
-// share of its own first tries, and an equal part of the reserve. The sum over
-// all nodes is then within both, whoever lives; a node that starts again has
-// its part of the reserve once more.
-RetryBudget &Entry::budgetOf(const Call &One) {
-  RetryBudget &Of = this->Budgets[One.Target->Name];
+// No node knows how many retries the others make, so each has a fixed part of
+// the total: a share of its own first tries, and an equal part of the reserve.
+// The sum over all nodes then stays within both limits, whichever nodes are
+// running. A node that restarts gets its part of the reserve again.
+RetryBudget &Entry::retryBudget(const PendingCall &Call) {
+  RetryBudget &Budget = this->RetryBudgets[Call.TargetService->Name];
   if (this->Opts.FleetRetryReserve > 0)
-    Of.limitReserve(std::max(
+    Budget.limitReserve(std::max(
         1.0, this->Opts.FleetRetryReserve /
                  static_cast<double>(std::max<size_t>(1, this->Fleet.size()))));
-  return Of;
+  return Budget;
 }
 
-void Entry::tryAnother(CallerId Caller, const Refusal &Why, TimePoint Now) {
-  Call &One = this->Calls.at(Caller);
-  if (!this->mayTryAnother(One, Why, Now)) {
-    if (!this->returnToLeft(Caller, One, Now))
-      this->giveUp(Caller, Why, Now);
+void Entry::retryOrGiveUp(CallerId Caller, const Refusal &Cause,
+                          TimePoint Now) {
+  PendingCall &Call = this->Calls.at(Caller);
+  if (!this->mayRetry(Call, Cause, Now)) {
+    if (!this->returnToDetachedRun(Caller, Call, Now))
+      this->giveUp(Caller, Cause, Now);
     return;
   }
-  this->moveOn(Caller, Why, Now);
+  this->retryElsewhere(Caller, Cause, Now);
 }
 
-void Entry::moveOn(CallerId Caller, const Refusal &Why, TimePoint Now) {
-  Call &One = this->Calls.at(Caller);
+void Entry::retryElsewhere(CallerId Caller, const Refusal &Cause,
+                           TimePoint Now) {
+  PendingCall &Call = this->Calls.at(Caller);
   ++this->Counts.Retries;
-  this->note("call-retried", One, Why, Now);
-  if (!One.LastRefusal || One.LastRefusal->CallOutcome == Outcome::NotRun)
-    One.LastRefusal = Why;
-  this->leaveGate(Caller, One, !blamesGate(Why), Now);
-  One.Request.rewind(0);
-  this->route(Caller, Now);
+  this->logEvent("call-retried", Call, Cause, Now);
+  if (!Call.LastRefusal || Call.LastRefusal->CallOutcome == Outcome::NotRun)
+    Call.LastRefusal = Cause;
+  this->leaveGate(Caller, Call, !blamesGate(Cause), Now);
+  Call.Request.rewind(0);
+  this->routeCall(Caller, Now);
 }
 
 void Entry::processPaused(TimePoint Now) {
   if (this->Opts.Guards.PauseBarrier)
-    this->GraceUntil = Now + this->Opts.PauseGrace;
-  // The links were not silent, we were: count from here.
-  for (auto &[Gate, On] : this->Links) {
-    if (On.PingAt)
-      On.PingAt = Now;
-    if (On.LostAt)
-      On.LostAt = Now;
+    this->PauseGraceUntil = Now + this->Opts.PauseGrace;
+  // Not the gates but this process was unresponsive, so the timeouts start
+  // again from now.
+  for (auto &[Gate, Link] : this->Links) {
+    if (Link.PingSentAt)
+      Link.PingSentAt = Now;
+    if (Link.LostAt)
+      Link.LostAt = Now;
   }
 }
 
-// The gate is told, so that nothing goes on running for nobody.
-void Entry::giveUpInTime(CallerId Caller, const char *Reason, TimePoint Now) {
-  Call &One = this->Calls.at(Caller);
-  bool MayHaveRun = One.Now != State::Connecting;
-  if (One.Now == State::Sent)
-    this->cancel(One.Gate, One.Id.Seq, Reason);
+// Also cancels the call at its gate, so that it does not go on running without
+// a caller.
+void Entry::cancelAndGiveUp(CallerId Caller, const char *Reason,
+                            TimePoint Now) {
+  PendingCall &Call = this->Calls.at(Caller);
+  bool MayHaveRun = Call.CurrentState != State::Connecting;
+  if (Call.CurrentState == State::Sent)
+    this->cancel(Call.Gate, Call.Id.Seq, Reason);
   this->giveUp(Caller,
                this->refusal(MayHaveRun ? Outcome::Unknown : Outcome::NotRun,
-                             Reason, StepEntry, One.Gate),
+                             Reason, StepEntry, Call.Gate),
                Now);
 }
 
 void Entry::failRemainingCalls(TimePoint Now) {
-  std::vector<CallerId> Left;
-  for (const auto &[Caller, One] : this->Calls)
-    Left.push_back(Caller);
-  for (CallerId Caller : Left)
-    if (this->find(Caller))
-      this->giveUpInTime(Caller, "stopped", Now);
+  std::vector<CallerId> Callers;
+  for (const auto &[Caller, Call] : this->Calls)
+    Callers.push_back(Caller);
+  for (CallerId Caller : Callers)
+    if (this->findCall(Caller))
+      this->cancelAndGiveUp(Caller, "stopped", Now);
 }
 
 void Entry::tick(TimePoint Now) {
-  while (!this->Due.empty() && this->Due.begin()->first <= Now) {
-    CallerId Caller = this->Due.begin()->second;
-    this->Due.erase(this->Due.begin());
-    if (this->find(Caller))
-      this->giveUpInTime(Caller, "deadline", Now);
+  while (!this->Deadlines.empty() && this->Deadlines.begin()->first <= Now) {
+    CallerId Caller = this->Deadlines.begin()->second;
+    this->Deadlines.erase(this->Deadlines.begin());
+    if (this->findCall(Caller))
+      this->cancelAndGiveUp(Caller, "deadline", Now);
   }
-  this->driveLinks(Now);
+  this->maintainLinks(Now);
 }
 
 } // namespace hickorylift
--- a/src/calls/EntryAnswers.cpp
+++ b/src/calls/EntryAnswers.cpp
@@ -2,25 +2,26 @@
 
 #include <algorithm>
 
-// What gates say of the calls that were sent to them: answers, refusals, and
-// how far a body has come. A frame counts only if the call is still at the gate
-// that sent it; late frames of a gate that was left are passed over.
+// Frames from gates about the calls that were sent to them: answers, refusals,
+// and how much of a body the gate has consumed. A frame counts only if the call
+// is still at the gate that sent it; late frames from an earlier gate are
+// ignored.
 
 namespace hickorylift {
 
 namespace {
 
 constexpr unsigned FirstServerError = 500;
-// The gate's upstream is not there any more.
-const char UpstreamIsGone[] = "upstream-gone";
+// The gate's upstream is no longer running.
+const char UpstreamGone[] = "upstream-gone";
 const char UpstreamCrashed[] = "upstream-crashed";
 
 } // namespace
 
-std::optional<Entry::CallerId> Entry::callOn(const std::string &Gate,
-                                             uint64_t Seq) const {
-  auto Found = this->BySeq.find(Seq);
-  if (Found == this->BySeq.end())
+std::optional<Entry::CallerId> Entry::findCallAtGate(const std::string &Gate,
+                                                     uint64_t Seq) const {
+  auto Found = this->CallerBySeq.find(Seq);
+  if (Found == this->CallerBySeq.end())
     return std::nullopt;
   return this->Calls.at(Found->second).Gate == Gate
              ? std::optional(Found->second)
@@ -32,25 +33,25 @@
   auto Found = this->Links.find(Gate);
   if (Found == this->Links.end())
     return;
-  Link &On = Found->second;
-  On.HeardAt = Now;
-  On.PingAt.reset();
+  GateLink &Link = Found->second;
+  Link.LastFrameAt = Now;
+  Link.PingSentAt.reset();
   if (const auto *Hello = Frame.payload.AsCallHello())
-    return this->onHello(Gate, On, *Hello, Now);
+    return this->onHello(Gate, Link, *Hello, Now);
   if (const auto *Head = Frame.payload.AsHead())
     return this->onHead(Gate, *Head, Now);
   if (const auto *Data = Frame.payload.AsData())
     return this->onData(Gate, *Data, Now);
   if (const auto *Failed = Frame.payload.AsFailed())
     return this->onFailed(Gate, *Failed, Now);
-  if (const auto *Joined = Frame.payload.AsAdmitted())
-    return this->onAdmitted(Gate, *Joined, Now);
+  if (const auto *Admitted = Frame.payload.AsAdmitted())
+    return this->onAdmitted(Gate, *Admitted, Now);
   if (const auto *Credit = Frame.payload.AsCredit())
     return this->onCredit(Gate, *Credit, Now);
   if (Frame.payload.AsDraining())
-    return this->Choose.draining(Gate);
+    return this->GateChooser.draining(Gate);
   if (const auto *Pong = Frame.payload.AsPong())
-    return this->onPong(Gate, On, *Pong, Now);
+    return this->onPong(Gate, Link, *Pong, Now);
   if (const auto *Ping = Frame.payload.AsPing()) {
     wire::PongT Pong;
     Pong.nonce = Ping->nonce;
@@ -58,52 +59,56 @@
   }
 }
 
-void Entry::onPong(const std::string &Gate, Link &On, const wire::PongT &Pong,
-                   TimePoint Now) {
+void Entry::onPong(const std::string &Gate, GateLink &Link,
+                   const wire::PongT &Pong, TimePoint Now) {
   if (Pong.load)
-    this->Choose.learn(Gate, *Pong.load, Now);
-  Pong.draining ? this->Choose.draining(Gate) : this->Choose.ready(Gate);
+    this->GateChooser.learn(Gate, *Pong.load, Now);
+  Pong.draining ? this->GateChooser.draining(Gate)
+                : this->GateChooser.ready(Gate);
   if (Pong.gone)
-    this->Choose.unreachable(Gate, Now);
-  else if (On.Gone)
-    this->Choose.reachable(Gate);
-  On.Gone = Pong.gone;
+    this->GateChooser.unreachable(Gate, Now);
+  else if (Link.UpstreamGone)
+    this->GateChooser.reachable(Gate);
+  Link.UpstreamGone = Pong.gone;
 }
 
-// What is left of the time until the head, without the gate's own, went by on
-// the way. A long body takes its time on it, which says nothing of the way.
-void Entry::learnWay(const std::string &Gate, const Call &One,
-                     const wire::HeadT &Head, TimePoint Now) {
+// Records the round-trip time to the gate: the time until the answer's head
+// arrived, less the time that the call waited and ran at the gate. With a long
+// body most of that time is the transfer of the body, which is recorded
+// separately because it does not show the round-trip time.
+void Entry::recordRoundTrip(const std::string &Gate, const PendingCall &Call,
+                            const wire::HeadT &Head, TimePoint Now) {
   bool LongBody =
-      One.Head.Length < 0 || One.Head.Length > this->Opts.ImmediateBodyBytes;
-  if (One.Now != State::Sent || Head.ran_us == 0)
+      Call.Head.Length < 0 || Call.Head.Length > this->Opts.ImmediateBodyBytes;
+  if (Call.CurrentState != State::Sent || Head.ran_us == 0)
     return;
-  auto Took = std::chrono::duration_cast<Micros>(Now - One.SentAt);
+  auto Elapsed = std::chrono::duration_cast<Micros>(Now - Call.SentAt);
   if (LongBody)
-    return this->Choose.carriedBody(
-        Gate, std::max(Micros(0), Took - Micros(Head.ran_us)), Now);
+    return this->GateChooser.carriedBody(
+        Gate, std::max(Micros(0), Elapsed - Micros(Head.ran_us)), Now);
   Micros AtGate = Micros(Head.ran_us) + Micros(Head.waited_us);
-  this->Choose.cameBack(Gate, std::max(Micros(0), Took - AtGate), Now);
+  this->GateChooser.cameBack(Gate, std::max(Micros(0), Elapsed - AtGate), Now);
 }
 
 void Entry::onHead(const std::string &Gate, const wire::HeadT &Head,
                    TimePoint Now) {
   if (Head.load)
-    this->Choose.learn(Gate, *Head.load, Now);
-  std::optional<CallerId> Caller = this->callOn(Gate, Head.seq);
+    this->GateChooser.learn(Gate, *Head.load, Now);
+  std::optional<CallerId> Caller = this->findCallAtGate(Gate, Head.seq);
   if (!Caller)
     return;
-  Call &One = this->Calls.at(*Caller);
-  if (One.HaveHead)
+  PendingCall &Call = this->Calls.at(*Caller);
+  if (Call.HaveHead)
     return;
-  One.HaveHead = true;
-  this->dropLeft(One);
+  Call.HaveHead = true;
+  this->dropDetachedRun(Call);
   bool Failure = Head.status >= FirstServerError;
-  this->Choose.judged(Gate, Failure, Now);
-  // A failure says nothing about how long an answer takes.
+  this->GateChooser.judged(Gate, Failure, Now);
+  // The run time of a failure does not show how long an answer takes.
   if (!Failure && Head.ran_us > 0)
-    this->Choose.ran(Gate, One.Taken->Name, Micros(Head.ran_us), Now);
-  this->learnWay(Gate, One, Head, Now);
+    this->GateChooser.ran(Gate, Call.MatchedRoute->Name, Micros(Head.ran_us),
+                          Now);
+  this->recordRoundTrip(Gate, Call, Head, Now);
   ResponseHead Answer;
   Answer.Status = Head.status;
   Answer.Reason = Head.reason;
@@ -114,21 +119,21 @@
 
 void Entry::onData(const std::string &Gate, const wire::DataT &Data,
                    TimePoint Now) {
-  std::optional<CallerId> Caller = this->callOn(Gate, Data.seq);
+  std::optional<CallerId> Caller = this->findCallAtGate(Gate, Data.seq);
   if (!Caller)
     return;
-  Call &One = this->Calls.at(*Caller);
+  PendingCall &Call = this->Calls.at(*Caller);
   std::string_view Bytes(reinterpret_cast<const char *>(Data.bytes.data()),
                          Data.bytes.size());
   std::optional<std::string_view> New =
-      One.Response.accept(Data.offset, Bytes, Data.end);
-  if (!New || !One.HaveHead)
+      Call.Response.accept(Data.offset, Bytes, Data.end);
+  if (!New || !Call.HaveHead)
     return this->giveUp(
         *Caller, this->refusal(Outcome::Unknown, "answer-gap", StepLink, Gate),
         Now);
   if (!New->empty())
     this->Hook.Body(*Caller, *New);
-  // The hook may have found the caller gone.
+  // The hook may have ended the call, because the caller was gone.
   auto Found = this->Calls.find(*Caller);
   if (Found == this->Calls.end() || !Found->second.Response.ended())
     return;
@@ -137,7 +142,7 @@
   Credit.consumed = Found->second.Response.received();
   this->Hook.Send(Gate, makeCallFrame(Credit));
   ++this->Counts.Answered;
-  this->Hook.CallFinished(Now - Found->second.CameAt, /*Answered=*/true);
+  this->Hook.CallFinished(Now - Found->second.ReceivedAt, /*Answered=*/true);
   this->finish(*Caller, Now);
   this->Hook.BodyEnd(*Caller);
 }
@@ -145,68 +150,71 @@
 void Entry::onFailed(const std::string &Gate, const wire::FailedT &Failed,
                      TimePoint Now) {
   if (Failed.load)
-    this->Choose.learn(Gate, *Failed.load, Now);
-  Refusal Why;
-  Why.CallOutcome = Failed.outcome == wire::Outcome::NotRun ? Outcome::NotRun
-                                                            : Outcome::Unknown;
-  Why.Reason = Failed.reason;
-  Why.Step = Failed.step;
-  Why.Peer = Failed.peer;
-  Why.RetryAfter = Millis(Failed.retry_after_ms);
-  Why.Status = Failed.status;
-  if (Why.Reason == "draining")
-    this->Choose.draining(Gate);
-  // The list is behind: something else stands there now.
-  if (Why.Reason == "not-my-service" || Why.Reason == "upstream-replaced")
-    this->Choose.unreachable(Gate, Now);
-  if (Why.Reason == "overload")
-    this->Choose.refused(Gate, Millis(Failed.room_in_ms), Now);
-  if (Why.Reason == UpstreamIsGone || Why.Reason == UpstreamCrashed) {
-    this->Links[Gate].Gone = true;
-    this->Choose.unreachable(Gate, Now);
+    this->GateChooser.learn(Gate, *Failed.load, Now);
+  Refusal Cause;
+  Cause.CallOutcome = Failed.outcome == wire::Outcome::NotRun
+                          ? Outcome::NotRun
+                          : Outcome::Unknown;
+  Cause.Reason = Failed.reason;
+  Cause.Step = Failed.step;
+  Cause.Peer = Failed.peer;
+  Cause.RetryAfter = Millis(Failed.retry_after_ms);
+  Cause.Status = Failed.status;
+  if (Cause.Reason == "draining")
+    this->GateChooser.draining(Gate);
+  // The membership list is out of date: another instance runs at that address
+  // now.
+  if (Cause.Reason == "not-my-service" || Cause.Reason == "upstream-replaced")
+    this->GateChooser.unreachable(Gate, Now);
+  if (Cause.Reason == "overload")
+    this->GateChooser.refused(Gate, Millis(Failed.room_in_ms), Now);
+  if (Cause.Reason == UpstreamGone || Cause.Reason == UpstreamCrashed) {
+    this->Links[Gate].UpstreamGone = true;
+    this->GateChooser.unreachable(Gate, Now);
   }
-  // A run that was left is over; the call goes on where it is.
-  if (Call *Of = this->leftBy(Gate, Failed.seq)) {
-    this->LeftBySeq.erase(Failed.seq);
-    Of->Left.reset();
+  // A detached run has ended. The call continues at its current gate.
+  if (PendingCall *Call = this->findDetachedCall(Gate, Failed.seq)) {
+    this->DetachedBySeq.erase(Failed.seq);
+    Call->Detached.reset();
     return;
   }
-  std::optional<CallerId> Caller = this->callOn(Gate, Failed.seq);
+  std::optional<CallerId> Caller = this->findCallAtGate(Gate, Failed.seq);
   if (!Caller)
     return;
-  // The gate is there and has room for all we know; it was the link.
-  if (Why.Reason == "never-arrived")
-    this->Calls.at(*Caller).Tried.erase(Gate);
-  this->tryAnother(*Caller, Why, Now);
+  // The gate works and may well have capacity, since the call was lost on the
+  // link. So it may be offered the call again.
+  if (Cause.Reason == "never-arrived")
+    this->Calls.at(*Caller).TriedGates.erase(Gate);
+  this->retryOrGiveUp(*Caller, Cause, Now);
 }
 
-void Entry::onAdmitted(const std::string &Gate, const wire::AdmittedT &Joined,
+void Entry::onAdmitted(const std::string &Gate, const wire::AdmittedT &Admitted,
                        TimePoint Now) {
-  if (Call *Of = this->leftBy(Gate, Joined.seq))
-    this->rejoin(this->LeftBySeq.at(Joined.seq), *Of, Now);
-  std::optional<CallerId> Caller = this->callOn(Gate, Joined.seq);
+  if (PendingCall *Call = this->findDetachedCall(Gate, Admitted.seq))
+    this->reattach(this->DetachedBySeq.at(Admitted.seq), *Call, Now);
+  std::optional<CallerId> Caller = this->findCallAtGate(Gate, Admitted.seq);
   if (!Caller)
     return;
-  Call &One = this->Calls.at(*Caller);
-  One.HoldsBody = false;
-  if (!One.Request.rewind(Joined.request_received))
+  PendingCall &Call = this->Calls.at(*Caller);
+  Call.WithholdsBody = false;
+  if (!Call.Request.rewind(Admitted.request_received))
     return this->giveUp(
         *Caller, this->refusal(Outcome::Unknown, "body-gap", StepLink, Gate),
         Now);
-  this->sendBody(One);
+  this->sendBody(Call);
 }
 
 void Entry::onCredit(const std::string &Gate, const wire::CreditT &Credit,
                      TimePoint) {
-  std::optional<CallerId> Caller = this->callOn(Gate, Credit.seq);
+  std::optional<CallerId> Caller = this->findCallAtGate(Gate, Credit.seq);
   if (!Caller)
     return;
-  Call &One = this->Calls.at(*Caller);
-  One.Request.credit(Credit.consumed);
-  this->sendBody(One);
-  if (One.RequestPaused &&
-      One.Request.bufferedSize() < this->Opts.ReadAheadBytes) {
-    One.RequestPaused = false;
+  PendingCall &Call = this->Calls.at(*Caller);
+  Call.Request.credit(Credit.consumed);
+  this->sendBody(Call);
+  if (Call.RequestPaused &&
+      Call.Request.bufferedSize() < this->Opts.ReadAheadBytes) {
+    Call.RequestPaused = false;
     this->Hook.PauseRequest(*Caller, false);
   }
 }
--- a/src/calls/EntryLinks.cpp
+++ b/src/calls/EntryLinks.cpp
@@ -2,70 +2,70 @@
 
 #include <algorithm>
 
-// The links to gates, one for each gate, for as long as calls go there.
+// The links to gates: one for each gate, for as long as calls go to it.
 //
-// Silence is told from slowness by a ping: sent when nothing came for an
-// interval while calls are under way, and answered by whoever reads the link. A
-// link without an answer is condemned, not the gate: something between the two
-// may have lost track of this connection while a new one works. Over the new
-// one the calls are asked about, or cancelled if nobody waits for them any
-// more.
+// A ping tells an unresponsive link from a slow call. It is sent when no frame
+// has arrived for PingInterval while calls are in progress, and the process at
+// the other end answers it as soon as it reads the link. If no answer comes,
+// the link is declared dead, but not the gate: a device between the two may
+// have lost track of this connection while a new one works. Over the new link
+// the gate is asked about the calls, and those without a caller are cancelled.
 
 namespace hickorylift {
 
 namespace {
 
-// Calls are given two seconds by most callers; four times the usual limit is
-// the longest that still leaves them time to be tried elsewhere.
-constexpr unsigned MostDoublings = 2;
+// Most callers give a call two seconds. Four times the usual limit, or two
+// doublings, is the longest that still leaves time to try another gate.
+constexpr unsigned MaxDoublings = 2;
 
 } // namespace
 
-void Entry::connect(const std::string &Gate, Link &On, TimePoint Now) {
-  if (On.ConnectingSince || On.Up)
+void Entry::connect(const std::string &Gate, GateLink &Link, TimePoint Now) {
+  if (Link.ConnectingSince || Link.Up)
     return;
   const Instance *Known = this->Fleet.find(Gate);
   if (!Known)
-    return this->loseLink(Gate, On, Now);
-  On.ConnectingSince = Now;
-  On.DialledAt = Now;
+    return this->loseLink(Gate, Link, Now);
+  Link.ConnectingSince = Now;
+  Link.DialledAt = Now;
   this->Hook.Connect(*Known);
 }
 
 void Entry::linkUp(const std::string &Gate, TimePoint Now) {
-  Link &On = this->Links[Gate];
-  On.HeardAt = Now;
-  On.PingAt.reset();
+  GateLink &Link = this->Links[Gate];
+  Link.LastFrameAt = Now;
+  Link.PingSentAt.reset();
   wire::CallHelloT Hello;
   Hello.node = this->Opts.Self;
   Hello.incarnation = this->Opts.Incarnation;
   this->Hook.Send(Gate, makeCallFrame(std::move(Hello)));
 }
 
-void Entry::onHello(const std::string &Gate, Link &On,
+void Entry::onHello(const std::string &Gate, GateLink &Link,
                     const wire::CallHelloT &Hello, TimePoint Now) {
-  On.Up = true;
-  On.ConnectingSince.reset();
-  On.Incarnation = Hello.incarnation;
-  On.LostAt.reset();
-  On.NextPing = Now + this->Opts.PingInterval;
-  this->Choose.ready(Gate);
-  this->Choose.reachable(Gate);
-  this->settleOrphans(Gate, On, Now);
-  for (CallerId Caller : std::set<CallerId>(On.Calls)) {
-    Call *Found = this->find(Caller);
+  Link.Up = true;
+  Link.ConnectingSince.reset();
+  Link.Incarnation = Hello.incarnation;
+  Link.LostAt.reset();
+  Link.NextPingAt = Now + this->Opts.PingInterval;
+  this->GateChooser.ready(Gate);
+  this->GateChooser.reachable(Gate);
+  this->settleAbandoned(Gate, Link, Now);
+  for (CallerId Caller : std::set<CallerId>(Link.Calls)) {
+    PendingCall *Found = this->findCall(Caller);
     if (!Found)
       continue;
-    Call &One = *Found;
-    if (One.Now == State::Connecting) {
-      this->open(Caller, One, /*Resume=*/false, Now);
-    } else if (One.GateIncarnation == Hello.incarnation ||
+    PendingCall &Call = *Found;
+    if (Call.CurrentState == State::Connecting) {
+      this->sendOpen(Caller, Call, /*Resume=*/false, Now);
+    } else if (Call.GateIncarnation == Hello.incarnation ||
                !this->Opts.Guards.ProveIncarnation) {
       ++this->Counts.Resumed;
-      this->note("call-resumed", One, Refusal(), Now);
-      this->open(Caller, One, /*Resume=*/true, Now);
+      this->logEvent("call-resumed", Call, Refusal(), Now);
+      this->sendOpen(Caller, Call, /*Resume=*/true, Now);
     } else {
-      this->tryAnother(
+      this->retryOrGiveUp(
           Caller,
           this->refusal(Outcome::Unknown, "gate-restarted", StepLink, Gate),
           Now);
@@ -73,257 +73,279 @@
   }
 }
 
-// Runs that nobody waits for any more are ended. One that a call has left is
-// asked about: ended now, while the call is on offer elsewhere, it would be
-// missing if that offer fails, and the caller would be told that the outcome is
-// unknown although its answer was nearly there.
-void Entry::settleOrphans(const std::string &Gate, Link &On, TimePoint Now) {
-  for (uint64_t Seq : std::exchange(On.Orphans, {})) {
-    Call *Of = this->leftBy(Gate, Seq);
-    bool Lives =
-        Of && Of->Left->Incarnation == On.Incarnation && Of->Head.Length == 0;
-    if (!Lives) {
+// Cancels abandoned calls over the new link. A detached run is asked about
+// instead: if it were cancelled now, while the call is offered to another gate,
+// and that offer failed, the caller would get an unknown outcome although its
+// answer was nearly ready.
+void Entry::settleAbandoned(const std::string &Gate, GateLink &Link,
+                            TimePoint Now) {
+  for (uint64_t Seq : std::exchange(Link.AbandonedSeqs, {})) {
+    PendingCall *Call = this->findDetachedCall(Gate, Seq);
+    bool StillRuns = Call && Call->Detached->Incarnation == Link.Incarnation &&
+                     Call->Head.Length == 0;
+    if (!StillRuns) {
       this->cancel(Gate, Seq, "caller-gone");
       continue;
     }
-    Of->Left->Asked = true;
-    wire::OpenT Open = this->openFrame(*Of, Of->Left->Id, Gate, Now);
+    Call->Detached->Queried = true;
+    wire::OpenT Open =
+        this->makeOpenFrame(*Call, Call->Detached->Id, Gate, Now);
     Open.resume = true;
     this->Hook.Send(Gate, makeCallFrame(std::move(Open)));
   }
 }
 
-// The call that has left this run and may return to it.
-Entry::Call *Entry::leftBy(const std::string &Gate, uint64_t Seq) {
-  auto Found = this->LeftBySeq.find(Seq);
-  Call *Of =
-      Found == this->LeftBySeq.end() ? nullptr : this->find(Found->second);
-  return Of && Of->Left && Of->Left->Gate == Gate ? Of : nullptr;
+// The call that was detached from this run and may return to it.
+Entry::PendingCall *Entry::findDetachedCall(const std::string &Gate,
+                                            uint64_t Seq) {
+  auto Found = this->DetachedBySeq.find(Seq);
+  PendingCall *Call = Found == this->DetachedBySeq.end()
+                          ? nullptr
+                          : this->findCall(Found->second);
+  return Call && Call->Detached && Call->Detached->Gate == Gate ? Call
+                                                                : nullptr;
 }
 
-// The link over which runs were asked about is lost too: ask over the next.
-void Entry::loseAsked(const std::string &Gate, Link &On) {
-  for (const auto &[Seq, Caller] : this->LeftBySeq) {
-    Call *Of = this->leftBy(Gate, Seq);
-    if (!Of || !std::exchange(Of->Left->Asked, false))
+// The link over which the gate was asked about detached runs is lost too, so it
+// is asked again over the next one.
+void Entry::requeueQueriedRuns(const std::string &Gate, GateLink &Link) {
+  for (const auto &[Seq, Caller] : this->DetachedBySeq) {
+    PendingCall *Call = this->findDetachedCall(Gate, Seq);
+    if (!Call || !std::exchange(Call->Detached->Queried, false))
       continue;
-    if (On.Orphans.size() < this->Opts.MaxAbandonedCalls)
-      On.Orphans.push_back(Seq);
+    if (Link.AbandonedSeqs.size() < this->Opts.MaxAbandonedCalls)
+      Link.AbandonedSeqs.push_back(Seq);
   }
 }
 
-// The run has an answer elsewhere, or nobody waits for any.
-void Entry::dropLeft(Call &One) {
-  if (!One.Left)
+// Drops the call's detached run, which no caller needs any more: the call was
+// answered elsewhere, has ended, or has a newer detached run.
+void Entry::dropDetachedRun(PendingCall &Call) {
+  if (!Call.Detached)
     return;
-  LeftRun Was = *std::exchange(One.Left, std::nullopt);
-  this->LeftBySeq.erase(Was.Id.Seq);
-  if (Was.Asked)
-    this->cancel(Was.Gate, Was.Id.Seq, "caller-gone");
+  DetachedRun Run = *std::exchange(Call.Detached, std::nullopt);
+  this->DetachedBySeq.erase(Run.Id.Seq);
+  if (Run.Queried)
+    this->cancel(Run.Gate, Run.Id.Seq, "caller-gone");
 }
 
-// The gate has said that the run goes on. It began before whatever the call has
-// been offered since.
-void Entry::rejoin(CallerId Caller, Call &One, TimePoint Now) {
-  LeftRun To = *std::exchange(One.Left, std::nullopt);
-  this->LeftBySeq.erase(To.Id.Seq);
-  if (One.Now == State::Sent && !One.Gate.empty())
-    this->cancel(One.Gate, One.Id.Seq, "caller-gone");
-  this->leaveGate(Caller, One, /*Answered=*/true, Now);
-  One.Now = State::Sent;
-  One.Gate = To.Gate;
-  One.GateIncarnation = To.Incarnation;
-  One.Id = To.Id;
-  One.StartedAt = One.SentAt = Now;
-  this->BySeq[One.Id.Seq] = Caller;
-  this->Choose.started(To.Gate);
-  this->Links[To.Gate].Calls.insert(Caller);
+// Moves the call back to its detached run, which is still in progress at the
+// first gate and began before any run that the call was offered for since.
+void Entry::reattach(CallerId Caller, PendingCall &Call, TimePoint Now) {
+  DetachedRun Run = *std::exchange(Call.Detached, std::nullopt);
+  this->DetachedBySeq.erase(Run.Id.Seq);
+  if (Call.CurrentState == State::Sent && !Call.Gate.empty())
+    this->cancel(Call.Gate, Call.Id.Seq, "caller-gone");
+  this->leaveGate(Caller, Call, /*Answered=*/true, Now);
+  Call.CurrentState = State::Sent;
+  Call.Gate = Run.Gate;
+  Call.GateIncarnation = Run.Incarnation;
+  Call.Id = Run.Id;
+  Call.AssignedAt = Call.SentAt = Now;
+  this->CallerBySeq[Call.Id.Seq] = Caller;
+  this->GateChooser.started(Run.Gate);
+  this->Links[Run.Gate].Calls.insert(Caller);
   ++this->Counts.Resumed;
-  this->note("call-resumed", One, Refusal(), Now);
+  this->logEvent("call-resumed", Call, Refusal(), Now);
 }
 
 void Entry::linkDown(const std::string &Gate, TimePoint Now) {
-  Link &On = this->Links[Gate];
-  if (On.ConnectingSince)
-    this->Choose.unreachable(Gate, Now);
-  On.Up = false;
-  On.ConnectingSince.reset();
-  this->loseLink(Gate, On, Now);
+  GateLink &Link = this->Links[Gate];
+  if (Link.ConnectingSince)
+    this->GateChooser.unreachable(Gate, Now);
+  Link.Up = false;
+  Link.ConnectingSince.reset();
+  this->loseLink(Gate, Link, Now);
 }
 
-// Calls that were never sent, or may run twice, go elsewhere at once. The
-// others wait for a new link, for FindAgain or until their deadline.
-void Entry::loseLink(const std::string &Gate, Link &On, TimePoint Now) {
-  On.PingAt.reset();
-  if (!On.LostAt)
-    On.LostAt = Now;
-  this->loseAsked(Gate, On);
-  for (CallerId Caller : std::set<CallerId>(On.Calls)) {
-    Call *Found = this->find(Caller);
+// Calls that were never sent, or may run twice, go to another gate at once. The
+// others wait for a new link, for SearchTimeout or until their deadline.
+void Entry::loseLink(const std::string &Gate, GateLink &Link, TimePoint Now) {
+  Link.PingSentAt.reset();
+  if (!Link.LostAt)
+    Link.LostAt = Now;
+  this->requeueQueriedRuns(Gate, Link);
+  for (CallerId Caller : std::set<CallerId>(Link.Calls)) {
+    PendingCall *Found = this->findCall(Caller);
     if (!Found)
       continue;
-    Call &One = *Found;
-    if (One.Now == State::Connecting)
-      this->tryAnother(
+    PendingCall &Call = *Found;
+    if (Call.CurrentState == State::Connecting)
+      this->retryOrGiveUp(
           Caller,
           this->refusal(Outcome::NotRun, "gate-unreachable", StepLink, Gate),
           Now);
-    else if (One.Now == State::Sent) {
-      One.Now = State::Searching;
-      // It may run twice, so there is nothing to find out first.
+    else if (Call.CurrentState == State::Sent) {
+      Call.CurrentState = State::Searching;
+      // An idempotent call need not wait to find out whether it has run.
       Refusal Lost =
           this->refusal(Outcome::Unknown, "link-lost", StepLink, Gate);
-      if (One.Left && One.Left->Asked && this->returnToLeft(Caller, One, Now))
+      if (Call.Detached && Call.Detached->Queried &&
+          this->returnToDetachedRun(Caller, Call, Now))
         continue;
-      if (One.Idempotent && this->mayTryAnother(One, Lost, Now)) {
-        this->dropLeft(One);
-        One.Left = LeftRun{Gate, One.GateIncarnation, One.Id, /*Asked=*/false};
-        this->LeftBySeq[One.Id.Seq] = Caller;
-        this->moveOn(Caller, Lost, Now);
+      if (Call.Idempotent && this->mayRetry(Call, Lost, Now)) {
+        this->dropDetachedRun(Call);
+        Call.Detached =
+            DetachedRun{Gate, Call.GateIncarnation, Call.Id, /*Queried=*/false};
+        this->DetachedBySeq[Call.Id.Seq] = Caller;
+        this->retryElsewhere(Caller, Lost, Now);
         continue;
       }
-      this->note("call-searching", One,
-                 this->refusal(Outcome::Unknown, "link-lost", StepLink, Gate),
-                 Now);
+      this->logEvent(
+          "call-searching", Call,
+          this->refusal(Outcome::Unknown, "link-lost", StepLink, Gate), Now);
     }
   }
 }
 
-// A safe call whose link was lost is offered to other gates, and these have no
-// room. Its first run may be nearly over: given up now, its caller would get a
-// failure and the upstream would have worked for nothing. So it is asked about
-// over the next link, as a call that must not repeat is; if it has been
-// already, the gate's word is awaited.
-bool Entry::returnToLeft(CallerId Caller, Call &One, TimePoint Now) {
-  if (!One.Left || One.HaveHead || One.Head.Length != 0 || Now >= One.Deadline)
+// Returns an idempotent call to its detached run if no other gate has capacity
+// for it. That run may be nearly finished: if the call were given up now, its
+// caller would get a failure and the upstream would have worked for nothing. So
+// the gate is asked about the run over the next link, as for a call that must
+// not run twice. If it has been asked already, its reply is awaited.
+bool Entry::returnToDetachedRun(CallerId Caller, PendingCall &Call,
+                                TimePoint Now) {
+  if (!Call.Detached || Call.HaveHead || Call.Head.Length != 0 ||
+      Now >= Call.Deadline)
     return false;
-  if (One.Left->Asked) {
-    // Its gate has refused the offer, or is out of reach.
-    this->leaveGate(Caller, One, /*Answered=*/true, Now);
-    this->rejoin(Caller, One, Now);
+  if (Call.Detached->Queried) {
+    // The gate that was offered the call has refused it or is unreachable.
+    this->leaveGate(Caller, Call, /*Answered=*/true, Now);
+    this->reattach(Caller, Call, Now);
     return true;
   }
-  LeftRun To = *std::exchange(One.Left, std::nullopt);
-  this->LeftBySeq.erase(To.Id.Seq);
-  Link &On = this->Links[To.Gate];
-  auto Orphan = std::find(On.Orphans.begin(), On.Orphans.end(), To.Id.Seq);
-  if (Orphan == On.Orphans.end())
+  DetachedRun Run = *std::exchange(Call.Detached, std::nullopt);
+  this->DetachedBySeq.erase(Run.Id.Seq);
+  GateLink &Link = this->Links[Run.Gate];
+  auto Abandoned = std::find(Link.AbandonedSeqs.begin(),
+                             Link.AbandonedSeqs.end(), Run.Id.Seq);
+  if (Abandoned == Link.AbandonedSeqs.end())
     return false;
-  On.Orphans.erase(Orphan);
-  this->leaveGate(Caller, One, /*Answered=*/true, Now);
-  One.Now = State::Searching;
-  One.Gate = To.Gate;
-  One.GateIncarnation = To.Incarnation;
-  One.Id = To.Id;
-  One.StartedAt = Now;
-  this->BySeq[One.Id.Seq] = Caller;
-  this->Choose.started(To.Gate);
-  On.Calls.insert(Caller);
-  if (!On.LostAt)
-    On.LostAt = Now;
+  Link.AbandonedSeqs.erase(Abandoned);
+  this->leaveGate(Caller, Call, /*Answered=*/true, Now);
+  Call.CurrentState = State::Searching;
+  Call.Gate = Run.Gate;
+  Call.GateIncarnation = Run.Incarnation;
+  Call.Id = Run.Id;
+  Call.AssignedAt = Now;
+  this->CallerBySeq[Call.Id.Seq] = Caller;
+  this->GateChooser.started(Run.Gate);
+  Link.Calls.insert(Caller);
+  if (!Link.LostAt)
+    Link.LostAt = Now;
   return true;
 }
 
-// The link is condemned, not the gate: something between the two may have lost
-// track of this connection while a new one works.
-void Entry::condemn(const std::string &Gate, Link &On, TimePoint Now) {
+// Closes an unresponsive link. The gate itself may still work: a device between
+// the two may have lost track of this connection while a new one works.
+void Entry::declareLinkDead(const std::string &Gate, GateLink &Link,
+                            TimePoint Now) {
   this->Hook.Close(Gate);
-  if (On.ConnectingSince)
-    this->Choose.unreachable(Gate, Now);
-  On.Up = false;
-  On.ConnectingSince.reset();
-  this->loseLink(Gate, On, Now);
+  if (Link.ConnectingSince)
+    this->GateChooser.unreachable(Gate, Now);
+  Link.Up = false;
+  Link.ConnectingSince.reset();
+  this->loseLink(Gate, Link, Now);
 }
 
-// What is done about one link may make others, and only this removes any.
-void Entry::driveLinks(TimePoint Now) {
-  for (auto At = this->Links.begin(); At != this->Links.end();) {
-    const std::string &Gate = At->first;
-    Link &On = At->second;
-    this->driveLink(Gate, On, Now);
-    bool Idle =
-        On.Calls.empty() && Now - On.UsedAt > this->Opts.IdleLinkTimeout;
+// Work on one link may add others to the map; links are removed only here.
+void Entry::maintainLinks(TimePoint Now) {
+  for (auto It = this->Links.begin(); It != this->Links.end();) {
+    const std::string &Gate = It->first;
+    GateLink &Link = It->second;
+    this->maintainLink(Gate, Link, Now);
+    bool Idle = Link.Calls.empty() &&
+                Now - Link.LastUsedAt > this->Opts.IdleLinkTimeout;
     if (Idle)
       this->Hook.Close(Gate);
-    At = Idle ? this->Links.erase(At) : std::next(At);
+    It = Idle ? this->Links.erase(It) : std::next(It);
   }
 }
 
-// How many times the usual limits this link is given.
-int64_t Entry::patience(const Link &On, TimePoint Now) const {
-  bool Recent =
-      On.SilentAt && Now - *On.SilentAt < this->Opts.TimeoutBackoffPeriod;
-  return Recent ? int64_t(1) << std::min(On.Silences, MostDoublings) : 1;
+// The factor by which the usual time limits are multiplied for this link.
+int64_t Entry::timeoutFactor(const GateLink &Link, TimePoint Now) const {
+  bool Recent = Link.LastTimeoutAt &&
+                Now - *Link.LastTimeoutAt < this->Opts.TimeoutBackoffPeriod;
+  return Recent ? int64_t(1) << std::min(Link.LivenessTimeouts, MaxDoublings)
+                : 1;
 }
 
-void Entry::driveLink(const std::string &Gate, Link &On, TimePoint Now) {
-  bool Quiet = Now - On.HeardAt >= this->Opts.PingInterval;
-  if (On.Up && !On.Calls.empty() && !On.PingAt && Quiet && Now >= On.NextPing) {
-    On.PingAt = Now;
-    On.NextPing = Now + this->Opts.PingInterval;
+void Entry::maintainLink(const std::string &Gate, GateLink &Link,
+                         TimePoint Now) {
+  bool Quiet = Now - Link.LastFrameAt >= this->Opts.PingInterval;
+  if (Link.Up && !Link.Calls.empty() && !Link.PingSentAt && Quiet &&
+      Now >= Link.NextPingAt) {
+    Link.PingSentAt = Now;
+    Link.NextPingAt = Now + this->Opts.PingInterval;
     this->Hook.Send(Gate, makeCallFrame(wire::PingT()));
   }
-  int64_t Patience = this->patience(On, Now);
-  bool Silent =
-      On.PingAt && Now - *On.PingAt > this->Opts.LivenessTimeout * Patience;
-  bool NeverUp = On.ConnectingSince && Now - *On.ConnectingSince >
-                                           this->Opts.ConnectTimeout * Patience;
-  if (Silent) {
-    On.Silences = Patience > 1 ? On.Silences + 1 : 1;
-    On.SilentAt = Now;
+  int64_t Factor = this->timeoutFactor(Link, Now);
+  bool Unresponsive =
+      Link.PingSentAt &&
+      Now - *Link.PingSentAt > this->Opts.LivenessTimeout * Factor;
+  bool ConnectTimedOut =
+      Link.ConnectingSince &&
+      Now - *Link.ConnectingSince > this->Opts.ConnectTimeout * Factor;
+  if (Unresponsive) {
+    Link.LivenessTimeouts = Factor > 1 ? Link.LivenessTimeouts + 1 : 1;
+    Link.LastTimeoutAt = Now;
   }
-  if ((Silent || NeverUp) && this->Opts.Guards.CondemnSilentLinks)
-    this->condemn(Gate, On, Now);
-  bool Slow = On.ConnectingSince &&
-              Now - *On.ConnectingSince > this->Opts.MaxConnectWait * Patience;
-  if (Slow)
-    this->moveWaiting(Gate, On, Now);
-  this->redial(Gate, On, Now);
-  bool Wanted = !On.Calls.empty() || !On.Orphans.empty();
-  if (On.Up || On.ConnectingSince || !Wanted)
+  if ((Unresponsive || ConnectTimedOut) && this->Opts.Guards.CondemnSilentLinks)
+    this->declareLinkDead(Gate, Link, Now);
+  bool ConnectSlow =
+      Link.ConnectingSince &&
+      Now - *Link.ConnectingSince > this->Opts.MaxConnectWait * Factor;
+  if (ConnectSlow)
+    this->reassignWaitingCalls(Gate, Link, Now);
+  this->redial(Gate, Link, Now);
+  bool Needed = !Link.Calls.empty() || !Link.AbandonedSeqs.empty();
+  if (Link.Up || Link.ConnectingSince || !Needed)
     return;
-  if (On.LostAt && Now - *On.LostAt > this->Opts.SearchTimeout) {
-    On.Orphans.clear();
-    this->giveUpSearch(Gate, On, Now);
+  if (Link.LostAt && Now - *Link.LostAt > this->Opts.SearchTimeout) {
+    Link.AbandonedSeqs.clear();
+    this->giveUpSearch(Gate, Link, Now);
   } else {
-    this->connect(Gate, On, Now);
+    this->connect(Gate, Link, Now);
   }
 }
 
-// The dial goes on for those who search there; who only waits goes elsewhere.
-void Entry::moveWaiting(const std::string &Gate, Link &On, TimePoint Now) {
-  this->Choose.unreachable(Gate, Now);
-  for (CallerId Caller : std::set<CallerId>(On.Calls)) {
-    Call *Found = this->find(Caller);
-    if (Found && Found->Now == State::Connecting)
-      this->tryAnother(
+// The connection attempt continues for calls in state Searching. Calls that
+// were not sent yet go to another gate.
+void Entry::reassignWaitingCalls(const std::string &Gate, GateLink &Link,
+                                 TimePoint Now) {
+  this->GateChooser.unreachable(Gate, Now);
+  for (CallerId Caller : std::set<CallerId>(Link.Calls)) {
+    PendingCall *Found = this->findCall(Caller);
+    if (Found && Found->CurrentState == State::Connecting)
+      this->retryOrGiveUp(
           Caller,
           this->refusal(Outcome::NotRun, "gate-unreachable", StepLink, Gate),
           Now);
   }
 }
 
-// A gate that was lost is left out of the choice, so no call would find out
-// that it is back.
-void Entry::redial(const std::string &Gate, Link &On, TimePoint Now) {
-  bool Due = On.LostAt && !On.Up && !On.ConnectingSince && On.Calls.empty() &&
-             Now - *On.LostAt < this->Opts.RedialPeriod &&
-             Now - On.DialledAt >= this->Opts.RedialInterval;
+// A lost gate is not chosen for calls, so no call would detect that it is back.
+void Entry::redial(const std::string &Gate, GateLink &Link, TimePoint Now) {
+  bool Due = Link.LostAt && !Link.Up && !Link.ConnectingSince &&
+             Link.Calls.empty() &&
+             Now - *Link.LostAt < this->Opts.RedialPeriod &&
+             Now - Link.DialledAt >= this->Opts.RedialInterval;
   const Instance *Known = Due ? this->Fleet.find(Gate) : nullptr;
   if (Known && !Known->Leaving)
-    this->connect(Gate, On, Now);
+    this->connect(Gate, Link, Now);
 }
 
-void Entry::giveUpSearch(const std::string &Gate, Link &On, TimePoint Now) {
-  for (CallerId Caller : std::set<CallerId>(On.Calls)) {
-    Call *Found = this->find(Caller);
+void Entry::giveUpSearch(const std::string &Gate, GateLink &Link,
+                         TimePoint Now) {
+  for (CallerId Caller : std::set<CallerId>(Link.Calls)) {
+    PendingCall *Found = this->findCall(Caller);
     if (!Found)
       continue;
-    bool Sent = Found->Now != State::Connecting;
-    this->tryAnother(Caller,
-                     this->refusal(Sent ? Outcome::Unknown : Outcome::NotRun,
-                                   "gate-lost", StepLink, Gate),
-                     Now);
+    bool Sent = Found->CurrentState != State::Connecting;
+    this->retryOrGiveUp(Caller,
+                        this->refusal(Sent ? Outcome::Unknown : Outcome::NotRun,
+                                      "gate-lost", StepLink, Gate),
+                        Now);
   }
 }
 
--- a/src/calls/EntryRequests.cpp
+++ b/src/calls/EntryRequests.cpp
@@ -2,8 +2,10 @@
 
 #include "base/Hash.h"
 
-// What callers ask: whether a request is taken at all, and the call that is
-// made of it.
+// Admission of callers' requests: the checks that refuse a request before a
+// gate is chosen, and the creation of its call. Requests are checked against
+// the limits of this node and the active configuration; explain() runs the same
+// steps without sending anything.
 
 namespace hickorylift {
 
@@ -20,140 +22,147 @@
 
 size_t headerBytes(const RequestHead &Head) {
   size_t Sum = Head.Path.size();
-  for (const HeaderField &One : Head.Headers)
-    Sum += One.Name.size() + One.Value.size();
+  for (const HeaderField &Field : Head.Headers)
+    Sum += Field.Name.size() + Field.Value.size();
   return Sum;
 }
 
 } // namespace
 
 const Route *Entry::findRoute(const RequestHead &Head) const {
-  return this->InForce->findRoute(Head.Method, Head.Path,
-                                  hostName(findHeader(Head.Headers, "Host")));
+  return this->ActiveConfig->findRoute(
+      Head.Method, Head.Path, hostName(findHeader(Head.Headers, "Host")));
 }
 
 bool Entry::isIdempotent(const RequestHead &Head) const {
-  const Route *Taken = this->InForce ? this->findRoute(Head) : nullptr;
-  return Taken && Taken->isIdempotent(Head.Method);
+  const Route *MatchedRoute =
+      this->ActiveConfig ? this->findRoute(Head) : nullptr;
+  return MatchedRoute && MatchedRoute->isIdempotent(Head.Method);
 }
 
 std::optional<Refusal> Entry::check(CallerId, const RequestHead &Head,
                                     TimePoint Now) const {
   auto NotRun = [&](const char *Reason, unsigned Status) {
-    Refusal Why = this->refusal(Outcome::NotRun, Reason, StepEntry, "");
-    Why.Status = Status;
+    Refusal Cause = this->refusal(Outcome::NotRun, Reason, StepEntry, "");
+    Cause.Status = Status;
     if (!Status)
-      Why.RetryAfter = this->Opts.RetryAfter;
-    return Why;
+      Cause.RetryAfter = this->Opts.RetryAfter;
+    return Cause;
   };
   if (this->Draining)
     return NotRun("entry-draining", 0);
-  if (!this->InForce) {
-    Refusal Why = NotRun("no-configuration", 0);
-    uint64_t Draw =
+  if (!this->ActiveConfig) {
+    Refusal Cause = NotRun("no-configuration", 0);
+    uint64_t IdHash =
         contentHash(findHeader(Head.Headers, this->Opts.HeaderNames.RequestId));
-    Why.RetryAfter = this->Opts.StartRetryAfter +
-                     Millis(Draw % (this->Opts.StartRetryJitter.count() + 1));
-    return Why;
+    Cause.RetryAfter =
+        this->Opts.StartRetryAfter +
+        Millis(IdHash % (this->Opts.StartRetryJitter.count() + 1));
+    return Cause;
   }
   if (this->Calls.size() >= this->Opts.MaxCalls)
     return NotRun("entry-full", 0);
   if (Head.Headers.size() > MaxHeaderFields ||
       headerBytes(Head) > MaxHeaderBytes)
     return NotRun("headers-too-large", TooLargeStatus);
-  const Route *Taken = this->findRoute(Head);
-  if (!Taken)
+  const Route *MatchedRoute = this->findRoute(Head);
+  if (!MatchedRoute)
     return NotRun("no-route", NotFoundStatus);
   std::string Key = findHeader(Head.Headers, KeyHeader);
-  bool NeedsKey = Taken->Key == KeyRule::Required &&
-                  !Taken->isIdempotent(Head.Method) && Key.empty();
+  bool NeedsKey = MatchedRoute->Key == KeyRule::Required &&
+                  !MatchedRoute->isIdempotent(Head.Method) && Key.empty();
   if (NeedsKey)
     return NotRun("idempotency-key-required", BadRequestStatus);
   if (Key.size() > MaxKeyLength)
     return NotRun("idempotency-key-too-long", BadRequestStatus);
-  if (Now < this->GraceUntil && !Taken->isIdempotent(Head.Method))
+  if (Now < this->PauseGraceUntil && !MatchedRoute->isIdempotent(Head.Method))
     return NotRun("paused", 0);
   return std::nullopt;
 }
 
-Entry::Call Entry::makeCall(const RequestHead &Head, const Route &Taken,
-                            TimePoint Now) {
-  Call One(this->Opts);
-  One.Head = Head;
-  One.Head.Headers = endToEndHeaders(Head.Headers);
-  One.Under = this->InForce;
-  One.Taken = &Taken;
-  One.Target = Taken.Parts[this->Turns.next(Taken)].Target;
+Entry::PendingCall Entry::makeCall(const RequestHead &Head,
+                                   const Route &MatchedRoute, TimePoint Now) {
+  PendingCall Call(this->Opts);
+  Call.Head = Head;
+  Call.Head.Headers = endToEndHeaders(Head.Headers);
+  Call.PinnedConfig = this->ActiveConfig;
+  Call.MatchedRoute = &MatchedRoute;
+  Call.TargetService =
+      MatchedRoute.Parts[this->SplitSchedule.next(MatchedRoute)].Target;
   if (!this->Opts.HeaderNames.Origin.empty())
-    setHeader(One.Head.Headers, this->Opts.HeaderNames.Origin,
+    setHeader(Call.Head.Headers, this->Opts.HeaderNames.Origin,
               this->Opts.Service);
-  One.Key = findHeader(Head.Headers, KeyHeader);
-  One.Class = findHeader(Head.Headers, ClassHeader);
-  One.Idempotent = Taken.isIdempotent(Head.Method);
-  Millis Budget = Taken.Timeout;
-  Millis Target = Taken.TargetLatency;
-  // Unreadable is no deadline: the route's own holds.
-  if (std::optional<Millis> Asked =
+  Call.IdempotencyKey = findHeader(Head.Headers, KeyHeader);
+  Call.CallerClass = findHeader(Head.Headers, ClassHeader);
+  Call.Idempotent = MatchedRoute.isIdempotent(Head.Method);
+  Millis Budget = MatchedRoute.Timeout;
+  Millis Target = MatchedRoute.TargetLatency;
+  // A budget that is not a number sets no deadline, and the route's timeout
+  // applies.
+  if (std::optional<Millis> StatedBudget =
           findMillisHeader(Head.Headers, this->Opts.HeaderNames.Budget)) {
-    Budget = std::min(Budget, *Asked);
-    Target -= std::min(Target, this->Ages.age(Taken.Name, *Asked, Now));
+    Budget = std::min(Budget, *StatedBudget);
+    Target -= std::min(
+        Target, this->CallAges.age(MatchedRoute.Name, *StatedBudget, Now));
   }
-  One.CameAt = Now;
-  One.Deadline = Now + Budget;
-  One.TargetAt = Taken.TargetLatency.count() > 0 ? Now + Target : One.Deadline;
-  return One;
+  Call.ReceivedAt = Now;
+  Call.Deadline = Now + Budget;
+  Call.LatencyTargetAt =
+      MatchedRoute.TargetLatency.count() > 0 ? Now + Target : Call.Deadline;
+  return Call;
 }
 
 void Entry::request(CallerId Caller, const RequestHead &Head, TimePoint Now) {
   ++this->Counts.Requests;
-  if (std::optional<Refusal> Why = this->check(Caller, Head, Now)) {
-    ++this->Counts.RefusedBy[Why->Reason];
-    Call Unmade(this->Opts);
-    Unmade.Head = Head;
-    Unmade.Under = this->InForce;
-    Unmade.CameAt = Unmade.Deadline = Now;
-    this->note("call-refused", Unmade, *Why, Now);
-    return this->Hook.Refuse(Caller, *Why);
+  if (std::optional<Refusal> Cause = this->check(Caller, Head, Now)) {
+    ++this->Counts.RefusedBy[Cause->Reason];
+    PendingCall RefusedCall(this->Opts);
+    RefusedCall.Head = Head;
+    RefusedCall.PinnedConfig = this->ActiveConfig;
+    RefusedCall.ReceivedAt = RefusedCall.Deadline = Now;
+    this->logEvent("call-refused", RefusedCall, *Cause, Now);
+    return this->Hook.Refuse(Caller, *Cause);
   }
-  const Route *Taken = this->findRoute(Head);
-  Call &One = this->Calls.emplace(Caller, this->makeCall(Head, *Taken, Now))
-                  .first->second;
-  this->Due.emplace(One.Deadline, Caller);
-  this->budgetOf(One).firstTry(
-      std::min(Taken->Retry->BudgetPercent, this->Opts.MaxRetryPercent));
+  const Route *MatchedRoute = this->findRoute(Head);
+  PendingCall &Call =
+      this->Calls.emplace(Caller, this->makeCall(Head, *MatchedRoute, Now))
+          .first->second;
+  this->Deadlines.emplace(Call.Deadline, Caller);
+  this->retryBudget(Call).firstTry(
+      std::min(MatchedRoute->Retry->BudgetPercent, this->Opts.MaxRetryPercent));
   if (Head.Length == 0)
-    One.Request.finish();
+    Call.Request.finish();
   bool Gathers = Head.Length > 0 && Head.Length <= this->Opts.GatherBytes;
   if (!Gathers)
-    this->route(Caller, Now);
+    this->routeCall(Caller, Now);
 }
 
 Entry::Explanation Entry::explain(const RequestHead &Head, TimePoint Now) {
-  Explanation Out;
-  if (std::optional<Refusal> Why = this->check(0, Head, Now)) {
-    Out.Note = "refused here: " + Why->Reason;
-    return Out;
+  Explanation Result;
+  if (std::optional<Refusal> Cause = this->check(0, Head, Now)) {
+    Result.Note = "refused by this entry: " + Cause->Reason;
+    return Result;
   }
-  Out.MatchedRoute = this->findRoute(Head);
-  Call One = this->makeCall(Head, *Out.MatchedRoute, Now);
+  Result.MatchedRoute = this->findRoute(Head);
+  PendingCall Call = this->makeCall(Head, *Result.MatchedRoute, Now);
   if (Head.Length == 0 &&
-      this->judge(One, Now).What == Quarantine::Standing::Held) {
-    Out.Note = "refused here: quarantined";
-    return Out;
+      this->checkQuarantine(Call, Now).What == Quarantine::Standing::Held) {
+    Result.Note = "refused by this entry: quarantined";
+    return Result;
   }
-  Out.Candidates = this->Fleet.upstreams(One.Target->Name);
-  Out.Chosen = this->chooseGate(One, Now);
-  if (!Out.Chosen)
-    Out.Note = "no upstream can take it now";
-  else if (!One.Key.empty() && !One.Idempotent)
-    Out.Note = "home of the idempotency key";
-  else if (Out.Chosen->Name == this->Opts.Self)
-    Out.Note = "this node's own upstream has room";
-  else if (Out.Chosen->DataCentre == this->Opts.DataCentre)
-    Out.Note = "drawn within the data centre";
+  Result.Candidates = this->Fleet.upstreams(Call.TargetService->Name);
+  Result.Chosen = this->chooseGate(Call, Now);
+  if (!Result.Chosen)
+    Result.Note = "no upstream can take the call now";
+  else if (!Call.IdempotencyKey.empty() && !Call.Idempotent)
+    Result.Note = "home gate of the idempotency key";
+  else if (Result.Chosen->Name == this->Opts.Self)
+    Result.Note = "the local upstream has capacity";
+  else if (Result.Chosen->DataCentre == this->Opts.DataCentre)
+    Result.Note = "chosen within the local data centre";
   else
-    Out.Note = "no upstream of this data centre can take it";
-  return Out;
+    Result.Note = "no upstream of the local data centre can take the call";
+  return Result;
 }
 
 } // namespace hickorylift
