--- a/src/calls/CallsTest.cpp
+++ b/src/calls/CallsTest.cpp
@@ -13,184 +13,192 @@
 
 const TimePoint Start = TimePoint(std::chrono::hours(1));
 
-std::vector<Instance> twoPlaces() {
-  std::vector<Instance> Out;
+std::vector<Instance> gatesInTwoDataCentres() {
+  std::vector<Instance> Gates;
   for (const char *Name : {"n-1", "n-2", "n-3", "s-1", "s-2"})
-    Out.push_back({Name, Name[0] == 'n' ? "north" : "south", "a", "127.0.0.1:1",
-                   "127.0.0.1:2", false});
-  return Out;
+    Gates.push_back({Name, Name[0] == 'n' ? "north" : "south", "a",
+                     "127.0.0.1:1", "127.0.0.1:2", false});
+  return Gates;
 }
 
-std::vector<const Instance *> pointers(const std::vector<Instance> &Of) {
-  std::vector<const Instance *> Out;
-  for (const Instance &One : Of)
-    Out.push_back(&One);
-  return Out;
+std::vector<const Instance *> pointers(const std::vector<Instance> &Gates) {
+  std::vector<const Instance *> Result;
+  for (const Instance &Gate : Gates)
+    Result.push_back(&Gate);
+  return Result;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(Calls)
 
-// A body goes over links that break anywhere: each byte arrives once.
-BOOST_AUTO_TEST_CASE(BodyIsWholeOverBrokenLinks) {
+// Links break at arbitrary points while a body is sent. Each byte must arrive
+// exactly once.
+BOOST_AUTO_TEST_CASE(BodyIsCompleteOverBrokenLinks) {
   std::mt19937 Random(4);
   for (int Round = 0; Round < 300; ++Round) {
-    std::string Sent;
+    std::string Body;
     for (unsigned I = 0; I < Random() % 5000; ++I)
-      Sent += static_cast<char>(Random());
-    SendStream Out(/*Window=*/512);
-    ReceiveStream In;
-    std::string Got;
-    size_t Given = 0;
-    for (int Step = 0; Step < 100000 && !In.ended(); ++Step) {
-      size_t More = std::min<size_t>(Random() % 300, Sent.size() - Given);
-      Out.append(std::string_view(Sent).substr(Given, More));
-      Given += More;
-      if (Given == Sent.size())
-        Out.finish();
-      auto Piece = Out.nextPiece(100);
+      Body += static_cast<char>(Random());
+    SendStream Sender(/*Window=*/512);
+    ReceiveStream Receiver;
+    std::string ReceivedBody;
+    size_t Appended = 0;
+    for (int Step = 0; Step < 100000 && !Receiver.ended(); ++Step) {
+      size_t More = std::min<size_t>(Random() % 300, Body.size() - Appended);
+      Sender.append(std::string_view(Body).substr(Appended, More));
+      Appended += More;
+      if (Appended == Body.size())
+        Sender.finish();
+      auto Piece = Sender.nextPiece(100);
       if (Piece && Random() % 4 != 0) {
-        auto New = In.accept(Piece->Offset, Piece->Bytes, Piece->End);
+        auto New = Receiver.accept(Piece->Offset, Piece->Bytes, Piece->End);
         BOOST_REQUIRE(New.has_value());
-        Got += *New;
+        ReceivedBody += *New;
       } else if (Piece) {
-        BOOST_REQUIRE(Out.rewind(In.received())); // it was lost; a new link
+        // The piece was lost; continue on a new link.
+        BOOST_REQUIRE(Sender.rewind(Receiver.received()));
       }
       if (Random() % 3 == 0)
-        Out.credit(In.received());
+        Sender.credit(Receiver.received());
     }
-    BOOST_TEST(In.ended());
-    BOOST_TEST((Got == Sent));
+    BOOST_TEST(Receiver.ended());
+    BOOST_TEST((ReceivedBody == Body));
   }
 }
 
-BOOST_AUTO_TEST_CASE(BodyRefusesGapsAndNonsense) {
-  ReceiveStream In;
-  BOOST_TEST(!In.accept(5, "late", false).has_value());
-  SendStream Out(100);
-  Out.append("0123456789");
-  Out.nextPiece(100);
-  Out.credit(1000000); // from a peer that speaks rubbish
-  BOOST_TEST(Out.replayable());
-  Out.credit(4);
-  BOOST_TEST(!Out.replayable());
-  BOOST_TEST(!Out.rewind(0));
-  BOOST_TEST(!Out.rewind(11));
-  BOOST_TEST(Out.rewind(4));
+BOOST_AUTO_TEST_CASE(BodyRejectsGapsAndInvalidCredits) {
+  ReceiveStream Receiver;
+  BOOST_TEST(!Receiver.accept(5, "late", false).has_value());
+  SendStream Sender(100);
+  Sender.append("0123456789");
+  Sender.nextPiece(100);
+  Sender.credit(1000000); // an invalid value from the peer
+  BOOST_TEST(Sender.replayable());
+  Sender.credit(4);
+  BOOST_TEST(!Sender.replayable());
+  BOOST_TEST(!Sender.rewind(0));
+  BOOST_TEST(!Sender.rewind(11));
+  BOOST_TEST(Sender.rewind(4));
 }
 
-// What is out is bounded by the window, however much is held to be sent again.
-BOOST_AUTO_TEST_CASE(HeldBytesAreNotUnderWay) {
-  SendStream Out(/*Window=*/4, /*Keep=*/8);
-  Out.append("0123456789");
-  Out.finish();
-  BOOST_TEST(Out.nextPiece(100)->Bytes == "0123");
-  BOOST_TEST(!Out.nextPiece(100).has_value());
-  Out.credit(3);
-  BOOST_TEST(Out.nextPiece(100)->Bytes == "456");
-  BOOST_TEST(Out.replayable());
-  BOOST_REQUIRE(Out.rewind(0));
-  BOOST_TEST(Out.nextPiece(100)->Bytes == "0123");
-  Out.credit(4);
-  BOOST_TEST(Out.nextPiece(2)->Bytes == "45");
-  BOOST_TEST(Out.nextPiece(100)->Bytes == "67");
-  Out.credit(8);
-  BOOST_TEST(Out.replayable());
-  auto Last = Out.nextPiece(100);
+// The window limits the bytes that are sent but not credited, however many are
+// kept for another attempt.
+BOOST_AUTO_TEST_CASE(WindowLimitsUncreditedBytes) {
+  SendStream Sender(/*Window=*/4, /*ReplayBytes=*/8);
+  Sender.append("0123456789");
+  Sender.finish();
+  BOOST_TEST(Sender.nextPiece(100)->Bytes == "0123");
+  BOOST_TEST(!Sender.nextPiece(100).has_value());
+  Sender.credit(3);
+  BOOST_TEST(Sender.nextPiece(100)->Bytes == "456");
+  BOOST_TEST(Sender.replayable());
+  BOOST_REQUIRE(Sender.rewind(0));
+  BOOST_TEST(Sender.nextPiece(100)->Bytes == "0123");
+  Sender.credit(4);
+  BOOST_TEST(Sender.nextPiece(2)->Bytes == "45");
+  BOOST_TEST(Sender.nextPiece(100)->Bytes == "67");
+  Sender.credit(8);
+  BOOST_TEST(Sender.replayable());
+  auto Last = Sender.nextPiece(100);
   BOOST_TEST(Last->Bytes == "89");
   BOOST_TEST(Last->End);
-  BOOST_TEST(!Out.isComplete());
-  Out.credit(10);
-  BOOST_TEST(!Out.replayable());
-  BOOST_TEST(Out.isComplete());
+  BOOST_TEST(!Sender.isComplete());
+  Sender.credit(10);
+  BOOST_TEST(!Sender.replayable());
+  BOOST_TEST(Sender.isComplete());
 }
 
-BOOST_AUTO_TEST_CASE(ConnectionFieldsStayBehind) {
-  HeaderList Out = endToEndHeaders({{"connection", "close"},
-                                    {"X-A", "1"},
-                                    {"TRANSFER-ENCODING", "chunked"},
-                                    {"Content-Type", "text/plain"}});
-  BOOST_TEST(Out.size() == 2u);
-  BOOST_TEST(findHeader(Out, "x-a") == "1");
+BOOST_AUTO_TEST_CASE(ConnectionHeadersAreNotForwarded) {
+  HeaderList Forwarded = endToEndHeaders({{"connection", "close"},
+                                          {"X-A", "1"},
+                                          {"TRANSFER-ENCODING", "chunked"},
+                                          {"Content-Type", "text/plain"}});
+  BOOST_TEST(Forwarded.size() == 2u);
+  BOOST_TEST(findHeader(Forwarded, "x-a") == "1");
 }
 
-BOOST_AUTO_TEST_CASE(CallDecoderSurvivesRubbish) {
+BOOST_AUTO_TEST_CASE(CallDecoderSurvivesCorruptFrames) {
   std::mt19937 Random(9);
   Safeguards Unsealed;
   Unsealed.CheckFrames = false;
   wire::OpenT Open;
   Open.headers = toWire({{"a", "b"}, {"c", "d"}});
   Open.path = "/some/path";
-  std::string Good = encodeFrame(makeCallFrame(std::move(Open)));
-  int Read = 0;
+  std::string Valid = encodeFrame(makeCallFrame(std::move(Open)));
+  int Decoded = 0;
   for (int Round = 0; Round < 20000; ++Round) {
-    std::string Bytes = Good;
+    std::string Bytes = Valid;
     if (Round % 2)
       Bytes.resize(Random() % 200);
     for (unsigned I = 0; I < 1 + Random() % 6; ++I)
       if (!Bytes.empty())
         Bytes[Random() % Bytes.size()] = static_cast<char>(Random());
-    Read += static_cast<bool>(decodeCallFrame(Bytes, Unsealed));
+    Decoded += static_cast<bool>(decodeCallFrame(Bytes, Unsealed));
   }
-  BOOST_TEST(Read > 0);
-  BOOST_TEST(Read < 20000);
+  BOOST_TEST(Decoded > 0);
+  BOOST_TEST(Decoded < 20000);
 }
 
-BOOST_AUTO_TEST_CASE(OwnFirstThenTheDataCentreThenOthers) {
-  std::vector<Instance> All = twoPlaces();
-  Chooser Own({}, "north", "n-2", 1);
-  BOOST_TEST(Own.pick(pointers(All), {}, Start)->Name == "n-2");
-  // Full, and the wait for a slot is longer than the way to another.
-  Own.learn("n-2", wire::Load(10, 0, 10, 100000), Start);
-  BOOST_TEST(Own.pick(pointers(All), {}, Start)->Name != "n-2");
-  Chooser Other({}, "north", "x-1", 1);
+BOOST_AUTO_TEST_CASE(ChooserPrefersLocalUpstreamThenLocalDataCentre) {
+  std::vector<Instance> All = gatesInTwoDataCentres();
+  Chooser WithLocalUpstream({}, "north", "n-2", 1);
+  BOOST_TEST(WithLocalUpstream.pick(pointers(All), {}, Start)->Name == "n-2");
+  // The local upstream is full, and waiting for a slot there takes longer than
+  // the round trip to another gate.
+  WithLocalUpstream.learn("n-2", wire::Load(10, 0, 10, 100000), Start);
+  BOOST_TEST(WithLocalUpstream.pick(pointers(All), {}, Start)->Name != "n-2");
+  Chooser WithoutLocalUpstream({}, "north", "x-1", 1);
   for (int I = 0; I < 50; ++I)
-    BOOST_TEST(Other.pick(pointers(All), {}, Start)->DataCentre == "north");
+    BOOST_TEST(
+        WithoutLocalUpstream.pick(pointers(All), {}, Start)->DataCentre ==
+        "north");
   BOOST_TEST(
-      Other.pick(pointers(All), {"n-1", "n-2", "n-3"}, Start)->DataCentre ==
-      "south");
-  BOOST_TEST(
-      !Other.pick(pointers(All), {"n-1", "n-2", "n-3", "s-1", "s-2"}, Start));
+      WithoutLocalUpstream.pick(pointers(All), {"n-1", "n-2", "n-3"}, Start)
+          ->DataCentre == "south");
+  BOOST_TEST(!WithoutLocalUpstream.pick(
+      pointers(All), {"n-1", "n-2", "n-3", "s-1", "s-2"}, Start));
 }
 
-BOOST_AUTO_TEST_CASE(LeavingAndDrainingAreLeftOut) {
-  std::vector<Instance> All = twoPlaces();
+BOOST_AUTO_TEST_CASE(LeavingAndDrainingGatesAreNotChosen) {
+  std::vector<Instance> All = gatesInTwoDataCentres();
   All[0].Leaving = true;
-  Chooser Choose({}, "north", "x-1", 1);
-  Choose.draining("n-2");
+  Chooser GateChooser({}, "north", "x-1", 1);
+  GateChooser.draining("n-2");
   for (int I = 0; I < 50; ++I)
-    BOOST_TEST(Choose.pick(pointers(All), {}, Start)->Name == "n-3");
+    BOOST_TEST(GateChooser.pick(pointers(All), {}, Start)->Name == "n-3");
 }
 
-// The network fails, and with it calls to all gates. If all were ejected,
-// nobody would be served once it is back.
-BOOST_AUTO_TEST_CASE(NotEveryoneIsEjected) {
-  std::vector<Instance> All = twoPlaces();
-  Chooser Choose({}, "north", "x-1", 1);
-  for (const Instance &One : All)
+// The network fails, and with it the calls to all gates. If all gates were
+// ejected, no call could be served once the network is back.
+BOOST_AUTO_TEST_CASE(NotAllGatesAreEjected) {
+  std::vector<Instance> All = gatesInTwoDataCentres();
+  Chooser GateChooser({}, "north", "x-1", 1);
+  for (const Instance &Gate : All)
     for (int I = 0; I < 5; ++I) {
-      Choose.started(One.Name);
-      Choose.ended(One.Name, /*Answered=*/false, Millis(1), Start);
+      GateChooser.started(Gate.Name);
+      GateChooser.ended(Gate.Name, /*Answered=*/false, Millis(1), Start);
     }
-  BOOST_TEST(Choose.isEjected("n-1", Start));
-  BOOST_TEST(Choose.pick(pointers(All), {}, Start));
+  BOOST_TEST(GateChooser.isEjected("n-1", Start));
+  BOOST_TEST(GateChooser.pick(pointers(All), {}, Start));
 }
 
-BOOST_AUTO_TEST_CASE(OneBadGateIsEjectedAndComesBack) {
-  std::vector<Instance> All = twoPlaces();
-  Chooser Choose({}, "north", "x-1", 1);
+BOOST_AUTO_TEST_CASE(FailingGateIsEjectedAndReadmitted) {
+  std::vector<Instance> All = gatesInTwoDataCentres();
+  Chooser GateChooser({}, "north", "x-1", 1);
   for (int I = 0; I < 3; ++I)
-    Choose.ended("n-1", /*Answered=*/false, Millis(1), Start);
+    GateChooser.ended("n-1", /*Answered=*/false, Millis(1), Start);
   for (int I = 0; I < 50; ++I)
-    BOOST_TEST(Choose.pick(pointers(All), {}, Start)->Name != "n-1");
-  bool Back = false;
+    BOOST_TEST(GateChooser.pick(pointers(All), {}, Start)->Name != "n-1");
+  bool Readmitted = false;
   for (int I = 0; I < 50; ++I)
-    Back |= Choose.pick(pointers(All), {}, Start + Millis(2001))->Name == "n-1";
-  BOOST_TEST(Back);
+    Readmitted |=
+        GateChooser.pick(pointers(All), {}, Start + Millis(2001))->Name ==
+        "n-1";
+  BOOST_TEST(Readmitted);
 }
 
-BOOST_AUTO_TEST_CASE(RetriesAreAShareOfFirstTries) {
+BOOST_AUTO_TEST_CASE(RetriesAreLimitedToShareOfFirstTries) {
   RetryBudget Budget(/*Reserve=*/2);
   int Retries = 0;
   for (int I = 0; I < 1000; ++I) {
@@ -201,24 +209,24 @@
   BOOST_TEST(Retries >= 98);
 }
 
-BOOST_AUTO_TEST_CASE(ProgressIsSummedOverDataCentres) {
+BOOST_AUTO_TEST_CASE(RolloutProgressIsSummedOverDataCentres) {
   Json::Value Fleet(Json::objectValue);
   Fleet["listed"]["n"] = 3;
   Fleet["listed"]["s"] = 2;
-  Json::Value One(Json::objectValue);
-  One["version"] = 5;
-  One["nodes"] = 3;
+  Json::Value Version(Json::objectValue);
+  Version["version"] = 5;
+  Version["nodes"] = 3;
   Fleet["data_centres"]["n"]["heard"] = 3;
-  Fleet["data_centres"]["n"]["versions"].append(One);
+  Fleet["data_centres"]["n"]["versions"].append(Version);
   Fleet["data_centres"]["s"]["heard"] = 1;
-  One["version"] = 4;
-  One["nodes"] = 1;
-  Fleet["data_centres"]["s"]["versions"].append(One);
-  Progress Now = readProgress(Fleet, 5);
-  BOOST_TEST(Now.Listed == 5u);
-  BOOST_TEST(Now.Holding == 3u);
-  BOOST_TEST(Now.notHeard() == 1u);
-  BOOST_TEST(!Now.everywhere());
+  Version["version"] = 4;
+  Version["nodes"] = 1;
+  Fleet["data_centres"]["s"]["versions"].append(Version);
+  Progress Current = readProgress(Fleet, 5);
+  BOOST_TEST(Current.Listed == 5u);
+  BOOST_TEST(Current.Holding == 3u);
+  BOOST_TEST(Current.notHeard() == 1u);
+  BOOST_TEST(!Current.everywhere());
   BOOST_TEST(readProgress(Fleet, 4).Holding == 4u);
 }
 
