--- a/src/control/ControlLinks.cpp
+++ b/src/control/ControlLinks.cpp
@@ -219,7 +219,7 @@
   }
   this->Spread.linkUp(Link, From.Name, From.Kind == LinkKind::Tree, Now);
   if (std::optional<wire::SpreadFrameT> Records =
-          this->RequestQuarantine.all(Now))
+          this->RequestQuarantine.snapshot(Now))
     this->Hook.Send(Link, encodeFrame(*Records));
 }
 
--- a/src/control/ControlPlane.cpp
+++ b/src/control/ControlPlane.cpp
@@ -76,13 +76,13 @@
                          uint64_t Revision, TimePoint AskedAt) {
     this->Spread.confirm(Topic, Version, Revision, AskedAt);
   };
-  Hooks.Held = [this](const std::string &Topic) {
+  Hooks.CurrentDocument = [this](const std::string &Topic) {
     return this->Spread.storedDocument(Topic);
   };
-  Hooks.Complete = [this](uint64_t Revision) {
+  Hooks.ReportComplete = [this](uint64_t Revision) {
     this->Spread.markComplete(Revision);
   };
-  Hooks.CompleteAt = [this] { return this->Spread.completeRevision(); };
+  Hooks.CompleteRevision = [this] { return this->Spread.completeRevision(); };
   Hooks.Failed = [this](const Error &Reason, TimePoint Now) {
     // Failures with the same error are recorded once, so that a long outage is
     // one event instead of one per attempt.
@@ -98,8 +98,8 @@
       this->Trail.add(Now, "item-unreadable", Reason.Detail, Reason.Peer,
                       "names no upstream");
   };
-  Hooks.MetEra = [this](uint64_t Era) { this->Spread.recordEra(Era); };
-  Hooks.FirstEra = [this] { return this->Spread.earliestEra(); };
+  Hooks.EraObserved = [this](uint64_t Era) { this->Spread.recordEra(Era); };
+  Hooks.EarliestEra = [this] { return this->Spread.earliestEra(); };
   // A source may have several readers, each of which reports the same restore.
   Hooks.Restored = [this](uint64_t From, uint64_t To, TimePoint Now) {
     if (this->PlatformEra && To <= *this->PlatformEra)
@@ -121,29 +121,31 @@
 // arrive at any node.
 Quarantine::Hooks ControlPlane::quarantineHooks() {
   Quarantine::Hooks Hooks;
-  Hooks.Tell = [this](const wire::SpreadFrameT &Frame,
-                      std::optional<LinkId> ExceptLink) {
+  Hooks.SendRecords = [this](const wire::SpreadFrameT &Frame,
+                             std::optional<LinkId> ExceptLink) {
     std::string Bytes = encodeFrame(Frame);
     for (const auto &[Link, To] : this->Peers)
       if (To.HelloReceived && Link != ExceptLink)
         this->Hook.Send(Link, Bytes);
   };
-  Hooks.Changed = [this](const Quarantine::Event &Event, TimePoint Now) {
-    std::string Outcome = Event.Of->Request;
-    if (Event.For.count() > 0)
-      Outcome += " crashes=" + std::to_string(Event.Of->counting().size()) +
-                 " for_ms=" + std::to_string(Event.For.count());
-    this->Trail.add(Now, Event.What, Event.Of->Of.text(), Event.Source,
-                    Outcome);
+  Hooks.StatusChanged = [this](const Quarantine::Event &Event, TimePoint Now) {
+    std::string Outcome = Event.AffectedRecord->Description;
+    if (Event.Term.count() > 0)
+      Outcome += " crashes=" +
+                 std::to_string(Event.AffectedRecord->activeCrashes().size()) +
+                 " for_ms=" + std::to_string(Event.Term.count());
+    this->Trail.add(Now, Event.Name,
+                    Event.AffectedRecord->RequestFingerprint.text(),
+                    Event.Source, Outcome);
   };
   return Hooks;
 }
 
-void ControlPlane::upstreamCrashed(const std::vector<Quarantine::Ran> &Running,
-                                   TimePoint Now) {
+void ControlPlane::upstreamCrashed(
+    const std::vector<Quarantine::RunningRequest> &Running, TimePoint Now) {
   std::string Fingerprints;
   for (size_t I = 0; I < std::min(Running.size(), MaxNamedRequests); ++I)
-    Fingerprints += " " + Running[I].Of.text();
+    Fingerprints += " " + Running[I].RequestFingerprint.text();
   this->Trail.add(Now, "upstream-crashed", this->Opts.Self, "gate",
                   "suspects=" + std::to_string(Running.size()) + Fingerprints);
   this->RequestQuarantine.upstreamCrashed(Running, Now);
--- a/src/control/ControlPlane.h
+++ b/src/control/ControlPlane.h
@@ -110,7 +110,7 @@
     Spreader::Options Spread;
     /// Options of Reader. Its WatchWait (how long one watch may wait) is used
     /// with every kind of document source.
-    Reader::Options Read;
+    PlatformReader::Options Read;
     CompileOptions Compile;
     /// Options of the quarantine for requests that crash upstreams. NodeCore
     /// sets Self, Service and Incarnation.
@@ -131,7 +131,7 @@
   };
 
   /// MakeRead creates the document source that reads the platform.
-  ControlPlane(Options Opts, const MakeSource &MakeRead, Hooks Hooks);
+  ControlPlane(Options Opts, const SourceFactory &MakeRead, Hooks Hooks);
 
   void tick(TimePoint Now);
   /// Dialled is the name passed to Hooks::Dial, or empty if the peer dialled
@@ -160,7 +160,7 @@
   const AuditTrail &audit() const { return this->Trail; }
   AuditTrail &audit() { return this->Trail; }
   /// Records that this node's upstream crashed while these requests ran.
-  void upstreamCrashed(const std::vector<Quarantine::Ran> &Running,
+  void upstreamCrashed(const std::vector<Quarantine::RunningRequest> &Running,
                        TimePoint Now);
   /// The quarantine of requests that crash upstreams, shared by all nodes.
   Quarantine &quarantine() { return this->RequestQuarantine; }
--- a/src/control/ControlPlaneTest.cpp
+++ b/src/control/ControlPlaneTest.cpp
@@ -46,7 +46,7 @@
       this->Frames.emplace_back(1 - Index, std::move(Bytes));
     };
     Hooks.Close = [](LinkId) {};
-    MakeSource Make = [this, Index](const SourceHooks &Given) {
+    SourceFactory Make = [this, Index](const SourceHooks &Given) {
       if (Index == 0)
         this->Publish = Given.Publish;
       return std::make_unique<UnresponsiveSource>(&this->Duties[Index]);
--- a/src/gate/ColdStartLimiterTest.cpp
+++ b/src/gate/ColdStartLimiterTest.cpp
@@ -316,7 +316,7 @@
   }
   std::optional<Admission::Result> Refused = Slots.reserveCapacity(at(600));
   BOOST_REQUIRE(Refused);
-  BOOST_TEST((Refused->RefusalDetails.What == Outcome::NotRun));
+  BOOST_TEST((Refused->RefusalDetails.CallOutcome == Outcome::NotRun));
   BOOST_TEST((Refused->RefusalDetails.RetryAfter >= Millis(900)));
   BOOST_TEST(!Slots.reserveCapacity(at(1500)));
 }
--- a/src/gate/GateTest.cpp
+++ b/src/gate/GateTest.cpp
@@ -159,7 +159,7 @@
   Admission::QueueUpdate Update = Slots.advanceQueue(Start + Millis(250));
   BOOST_TEST(Update.ToRun.empty());
   BOOST_REQUIRE(Update.ToDrop.size() == 1u);
-  BOOST_TEST((Update.ToDrop[0].RefusalDetails.What == Outcome::NotRun));
+  BOOST_TEST((Update.ToDrop[0].RefusalDetails.CallOutcome == Outcome::NotRun));
 }
 
 BOOST_AUTO_TEST_CASE(DrainRefusesNewAndWaitingCalls) {
--- a/src/gate/IdempotencyChecker.cpp
+++ b/src/gate/IdempotencyChecker.cpp
@@ -86,7 +86,7 @@
                                                       unsigned Status) const {
   Result Refused;
   Refused.Action = Action;
-  Refused.RefusalDetails.What = CallOutcome;
+  Refused.RefusalDetails.CallOutcome = CallOutcome;
   Refused.RefusalDetails.Reason = Reason;
   Refused.RefusalDetails.Step = StepName;
   Refused.RefusalDetails.Peer = this->Self;
--- a/src/gate/LoadTest.cpp
+++ b/src/gate/LoadTest.cpp
@@ -207,7 +207,7 @@
 
   bool Ranked;
   Admission Slots;
-  std::vector<TurnRank> Ranks;
+  std::vector<NodeRank> Ranks;
   double DueRuns = 0;
   uint64_t StartedRuns = 0;
   uint64_t CompletedRuns = 0;
--- a/src/reading/PlatformReader.cpp
+++ b/src/reading/PlatformReader.cpp
@@ -261,7 +261,7 @@
   this->PendingLists.erase(Key);
   Result<DocumentPtr> List =
       Evacuations ? readEvacuations(Got->Bytes, Got->Revision)
-                  : readInstanceList(Got->Bytes, listTopicDataCentre(Key),
+                  : readInstanceList(Got->Bytes, dataCentreOfListTopic(Key),
                                      Got->Revision);
   if (!List)
     return this->skipInvalidValue(Got->Revision, List.error(), Now);
--- a/src/reading/StorePublishing.cpp
+++ b/src/reading/StorePublishing.cpp
@@ -33,8 +33,9 @@
     DataCentres.insert(Key.substr(this->Layout.EvacuationPrefix.size()));
   this->EvacuationsIncludeKept =
       Now < this->RestoreGraceEnd && this->keepMissingEvacuations(DataCentres);
-  DocumentPtr New = this->makeDocument(
-      makeEvacuations(0, DataCentres)->entries(), this->EvacuationsIncludeKept);
+  DocumentPtr New =
+      this->makeDocument(makeEvacuationDocument(0, DataCentres)->entries(),
+                         this->EvacuationsIncludeKept);
   bool IsCurrent = this->nodeHas(EvacuationTopic, New);
   this->EvacuationDoc =
       IsCurrent ? this->Hook.CurrentDocument(EvacuationTopic) : New;
@@ -51,7 +52,7 @@
   if (!Current)
     return false;
   bool Kept = false;
-  for (const std::string &Name : evacuatedIn(*Current))
+  for (const std::string &Name : evacuatedDataCentres(*Current))
     if (!this->RemovedEvacuationKeys.count(this->Layout.EvacuationPrefix +
                                            Name))
       Kept |= DataCentres.insert(Name).second;
--- a/src/reading/StoreReader.cpp
+++ b/src/reading/StoreReader.cpp
@@ -143,7 +143,7 @@
     return false;
   this->EvacuationDoc = Current;
   this->EvacuationKeys.clear();
-  for (const std::string &Name : evacuatedIn(*Current))
+  for (const std::string &Name : evacuatedDataCentres(*Current))
     this->EvacuationKeys.insert(this->Layout.EvacuationPrefix + Name);
   return true;
 }
--- a/src/reading/StoreReaderTest.cpp
+++ b/src/reading/StoreReaderTest.cpp
@@ -158,7 +158,7 @@
   }
 
   std::set<std::string> evacuated() const {
-    return evacuatedIn(*this->Documents.at(EvacuationTopic));
+    return evacuatedDataCentres(*this->Documents.at(EvacuationTopic));
   }
 
   std::string entryOf(const std::string &Name) const {
@@ -180,7 +180,7 @@
     this->Documents[ConfigTopic] = Document::make(3, 30, {});
     this->Documents["instances/north"] = receivedList({"x", "y"}, 35);
     this->Documents["instances/south"] = Document::make(20, 20, {});
-    this->Documents[EvacuationTopic] = makeEvacuations(25, {"south"});
+    this->Documents[EvacuationTopic] = makeEvacuationDocument(25, {"south"});
     this->CompleteRevision = 40;
     StoreReader::Options Opts;
     Opts.StartJitter = Millis(0);
@@ -568,7 +568,7 @@
   if (Row.South)
     Test.Documents["instances/south"] = Document::make(20, 20, {});
   if (Row.Evacuations)
-    Test.Documents[EvacuationTopic] = makeEvacuations(20, {});
+    Test.Documents[EvacuationTopic] = makeEvacuationDocument(20, {});
   Test.CompleteRevision = Row.CompleteRevision;
   StoreReader::Options Opts;
   Opts.StartJitter = Millis(0);
--- a/src/reading/StoreRestoreTest.cpp
+++ b/src/reading/StoreRestoreTest.cpp
@@ -42,15 +42,15 @@
       this->Spread.confirm(Topic, Version, Revision, AskedAt);
     };
     Hooks.CurrentDocument = [this](const std::string &Topic) {
-      return this->Spread.held(Topic);
+      return this->Spread.storedDocument(Topic);
     };
     Hooks.ReportComplete = [this](uint64_t Revision) {
-      this->Spread.complete(Revision);
+      this->Spread.markComplete(Revision);
     };
-    Hooks.CompleteRevision = [this] { return this->Spread.completeAt(); };
+    Hooks.CompleteRevision = [this] { return this->Spread.completeRevision(); };
     Hooks.Failed = [](const Error &, TimePoint) {};
-    Hooks.EraObserved = [this](uint64_t Era) { this->Spread.meetEra(Era); };
-    Hooks.EarliestEra = [this] { return this->Spread.firstEra(); };
+    Hooks.EraObserved = [this](uint64_t Era) { this->Spread.recordEra(Era); };
+    Hooks.EarliestEra = [this] { return this->Spread.earliestEra(); };
     Hooks.Restored = [this](uint64_t, uint64_t, TimePoint) {
       ++this->RestoreReports;
     };
@@ -103,8 +103,10 @@
     Hooks.Send = [this, Index](LinkId, const wire::SpreadFrameT &Frame) {
       this->Frames.emplace_back(1 - Index, Frame);
     };
-    Hooks.Accept = [](const Spreader::Arrival &, TimePoint) { return true; };
-    Hooks.Condemn = [](LinkId, const Error &) {};
+    Hooks.Accept = [](const Spreader::ReceivedDocument &, TimePoint) {
+      return true;
+    };
+    Hooks.CloseDeadLink = [](LinkId, const Error &) {};
     this->Nodes[Index] = std::make_unique<ReadingNode>(this->Store, Hooks);
   }
 
