--- a/scenario/WorldUpstreams.cpp
+++ b/scenario/WorldUpstreams.cpp
@@ -33,7 +33,7 @@
     Found->second.Body.append(Bytes);
     uint64_t Total = Found->second.Body.size();
     this->at(Name, UpstreamDelay, [this, Id, Total](NodeState &Of) {
-      Of.Core->gate().upstreamConsumed(Id, Total, this->Now);
+      Of.Core->gate().requestConsumed(Id, Total, this->Now);
     });
   };
   Out.BodyEnd = [this, Name](const CallId &Id) {
@@ -52,7 +52,7 @@
                                      this->Now);
     });
   };
-  Out.AskHealth = [this, Name](const std::string &) {
+  Out.QueryHealth = [this, Name](const std::string &) {
     this->at(Name, UpstreamDelay, [this](NodeState &Of) {
       if (Of.Upstream.Alive)
         Of.Core->health(this->healthOf(Of.Upstream), this->Now);
@@ -120,7 +120,7 @@
   this->Jobs[Name][Id] = {Label, "", Key, Shed, Crashes};
   ++Up.Running;
   Up.LastStart = this->Now;
-  Of.Core->gate().upstreamSent(Id, this->Now);
+  Of.Core->gate().requestSent(Id, this->Now);
   if (this->overruns(Up)) {
     this->note("more calls came to " + Name + " than it bears while cold");
     return this->crash(Name);
--- a/src/calls/Gate.h
+++ b/src/calls/Gate.h
@@ -35,7 +35,7 @@
     /// The service that the upstream serves; calls for another are refused.
     std::string Service;
     /// Header fields of the deployment.
-    Dialect Names;
+    Dialect HeaderNames;
     /// Must differ from that of every earlier process in this place: entries
     /// tell by it whether their calls are remembered.
     uint64_t Incarnation = 1;
@@ -43,42 +43,42 @@
     uint64_t Seed = 1;
     /// Bytes of a body that may be out without a credit, in each direction
     /// of each call. Bounds the memory for one call.
-    uint64_t Window = 256 * 1024;
+    uint64_t BodyWindowBytes = 256 * 1024;
     /// Largest piece of a body in one frame.
-    size_t PieceBytes = 32 * 1024;
+    size_t MaxPieceBytes = 32 * 1024;
     /// Added to a call's deadline before its id is forgotten. Must cover the
     /// longest that an entry tries to find a call again.
-    Millis RememberSlack{10000};
+    Millis RetainAfterDeadline{10000};
     /// How long a call that may be repeated runs on after its link was lost.
     /// Must leave the entry time to come back over another; one that does not
     /// is gone, and so is its caller.
-    Millis OrphanGrace{500};
+    Millis AbandonedGrace{500};
     /// Advice to a caller whose call the upstream turned away although it had a
     /// slot: the next upstream, or the next moment, may take it, so it comes
     /// back while its target can still be met.
-    Millis ShedComeBack{30};
+    Millis ShedRetryAfter{30};
     /// Ids remembered at once. New calls are refused when full.
-    size_t MaxRemembered = 100000;
+    size_t MaxCallRecords = 100000;
     /// All on, but in scenarios.
     Safeguards Guards;
     /// Of the upstream's slots and queue.
-    Admission::Options Slots;
+    Admission::Options AdmissionOpts;
     /// Of the long bodies that come to the upstream.
-    TransferTurns::Options Transfers;
+    TransferTurns::Options TransferOpts;
     /// Where bodies take this long, they come before the call has a slot. Less
     /// is a small part of most runs, and a body that comes first may come for
     /// nothing, for the slots may be taken when it is there: on fast links that
     /// only sends more bytes between data centres.
-    Millis FetchFirstFrom{25};
+    Millis PrefetchThreshold{25};
     /// Of the idempotency keys.
-    KeyJudge::Options Keys;
+    KeyJudge::Options IdempotencyOpts;
     /// Of what runs at the upstream when it crashes.
-    RunWatch::Options Runs;
+    RunWatch::Options CrashDetectorOpts;
     /// Advice to the caller of a suspect that found another one running here,
     /// and no other gate: about a run.
-    Millis SuspectComeBack{100};
+    Millis SuspectRetryAfter{100};
     /// Between two looks at an upstream that is gone.
-    Millis LookAgain{100};
+    Millis ReprobeInterval{100};
   };
 
   /// What the upstream's side is to do.
@@ -95,23 +95,26 @@
     /// Stops or resumes reading the upstream's answer.
     std::function<void(const CallId &, bool Paused)> PauseAnswer;
     /// A call was answered whole: how long it waited for a slot, and ran.
-    std::function<void(Clock::duration Waited, Clock::duration Ran)> Took =
-        [](Clock::duration, Clock::duration) {};
+    std::function<void(Clock::duration Waited, Clock::duration Ran)>
+        CallFinished = [](Clock::duration, Clock::duration) {};
     std::function<std::optional<Millis>(TimePoint)> ListAge = [](TimePoint) {
       return Millis(0);
     };
     /// What is known against a request.
-    std::function<Quarantine::Verdict(const Fingerprint &, TimePoint)> Judge =
-        [](const Fingerprint &, TimePoint) { return Quarantine::Verdict(); };
+    std::function<Quarantine::Verdict(const Fingerprint &, TimePoint)>
+        CheckQuarantine = [](const Fingerprint &, TimePoint) {
+          return Quarantine::Verdict();
+        };
     /// A request ran to an answer.
-    std::function<void(const Fingerprint &, TimePoint)> RanWell =
+    std::function<void(const Fingerprint &, TimePoint)> RequestAnswered =
         [](const Fingerprint &, TimePoint) {};
     /// The upstream crashed under these.
     std::function<void(const std::vector<Quarantine::Ran> &, TimePoint)>
-        Crashed = [](const std::vector<Quarantine::Ran> &, TimePoint) {};
+        UpstreamCrashed =
+            [](const std::vector<Quarantine::Ran> &, TimePoint) {};
     /// Asks the upstream how it is, at this path or, where it is empty, the
     /// usual one; upstreamTold follows, within Slots.Cold.AskAgain or never.
-    std::function<void(const std::string &Path)> AskHealth =
+    std::function<void(const std::string &Path)> QueryHealth =
         [](const std::string &) {};
     /// Finds out whether the upstream takes connections; upstreamProbed
     /// follows. Where there is none, no crash is told from a lost answer.
@@ -128,10 +131,11 @@
   Gate(Options Opts, Hooks Hooks);
 
   void configure(const ConfigPtr &New, TimePoint Now);
-  void members(const std::vector<const Instance *> &Upstreams, TimePoint Now);
+  void membersChanged(const std::vector<const Instance *> &Upstreams,
+                      TimePoint Now);
   void linkUp(LinkId Link, TimePoint Now);
   void linkDown(LinkId Link, TimePoint Now);
-  void frame(LinkId Link, const wire::CallFrameT &Frame, TimePoint Now);
+  void handleFrame(LinkId Link, const wire::CallFrameT &Frame, TimePoint Now);
 
   void upstreamHead(const CallId &Id, const ResponseHead &Head, TimePoint Now);
   void upstreamData(const CallId &Id, std::string_view Bytes, TimePoint Now);
@@ -142,44 +146,48 @@
                       TimePoint Now);
   void upstreamProbed(UpstreamPort Found, TimePoint Now);
   /// The upstream has said how long it stays cold.
-  void upstreamTold(std::optional<Millis> ColdLeft, TimePoint Now);
+  void upstreamReported(std::optional<Millis> ColdLeft, TimePoint Now);
   /// A request has gone out to the upstream: of this call, or nobody's, as a
   /// question how the upstream is.
-  void upstreamSent(const CallId &Id, TimePoint Now);
+  void requestSent(const CallId &Id, TimePoint Now);
   /// The upstream's side has written this much of the request's body.
-  void upstreamConsumed(const CallId &Id, uint64_t Total, TimePoint Now);
+  void requestConsumed(const CallId &Id, uint64_t Total, TimePoint Now);
 
   /// Closes the gate to new work, for one more reason. Calls of which the
   /// upstream has seen nothing are refused; those that run go on.
   void drain(const std::string &By, TimePoint Now);
   /// A reason is gone. Without any, it takes work again and tells the entries.
   void reopen(const std::string &By, TimePoint Now);
-  bool draining() const { return this->Slots.draining(); }
+  bool draining() const { return this->AdmissionControl.draining(); }
   bool isDrainedBy(const std::string &By) const {
-    return this->Slots.isDrainedBy(By);
+    return this->AdmissionControl.isDrainedBy(By);
+  }
+  std::string drainReasons() const {
+    return this->AdmissionControl.drainedBy();
   }
-  std::string drainedBy() const { return this->Slots.drainedBy(); }
   /// The upstream may have become cold unseen.
-  void doubtWarm(TimePoint Now);
-  bool isCold(TimePoint Now) { return this->Slots.coldStart().isCold(Now); }
+  void suspectRestart(TimePoint Now);
+  bool isCold(TimePoint Now) {
+    return this->AdmissionControl.coldStart().isCold(Now);
+  }
   /// Whether nothing runs, waits, or still has to be told to an entry.
   bool idle() const;
   /// How far the calls are that are not over yet.
-  struct Held {
+  struct UnfinishedCalls {
     size_t Waiting = 0;
     /// Have a slot, and wait for their bodies.
     size_t Admitted = 0;
     size_t Running = 0;
   };
-  Held held() const;
+  UnfinishedCalls unfinishedCalls() const;
 
   /// This process stood still, and what lies in its sockets is of unknown age.
-  void paused(TimePoint Now);
+  void processPaused(TimePoint Now);
   void tick(TimePoint Now);
 
-  wire::Load load(TimePoint Now) { return this->Slots.load(Now); }
+  wire::Load load(TimePoint Now) { return this->AdmissionControl.load(Now); }
   const Counters &counters() const { return this->Counts; }
-  size_t remembered() const { return this->Calls.size(); }
+  size_t callRecordCount() const { return this->Calls.size(); }
 
 private:
   enum class State {
@@ -192,140 +200,143 @@
     Refused,
   };
 
-  struct Call {
-    State Now = State::Waiting;
+  struct CallRecord {
+    State Phase = State::Waiting;
     LinkId Link = 0;
     bool Linked = false;
-    RequestHead Head;
+    RequestHead Request;
     // The upstream that the entry means; empty for whichever is there.
-    std::string Upstream;
+    std::string ExpectedUpstream;
     // The entry sends the body only once it is asked to.
-    bool BodyHeld = false;
+    bool EntryHoldsBody = false;
     // Waits for its body, and asks for a slot when that is whole.
-    bool Fetching = false;
-    Admission::Ask Wanted;
+    bool Prefetching = false;
+    Admission::Ask SlotRequest;
     std::string LimitName;
-    std::string Key;
+    std::string IdempotencyKey;
     bool Idempotent = false;
-    TimePoint CameAt;
+    TimePoint ArrivedAt;
     TimePoint StartedAt;
     TimePoint AnsweredAt;
     TimePoint Deadline;
-    ReceiveStream Request;
-    std::string EarlyBody;
-    bool HaveHead = false;
-    ResponseHead Answer;
-    SendStream Response;
+    ReceiveStream RequestBody;
+    std::string BufferedBody;
+    bool HaveAnswerHead = false;
+    ResponseHead AnswerHead;
+    SendStream AnswerBody;
     bool AnswerPaused = false;
     uint64_t AnswerBytes = 0;
-    Refusal Why;
+    Refusal RefusalDetails;
     // Names it while it runs.
-    Fingerprint Print;
+    Fingerprint RequestFingerprint;
     // Upstreams that crashed under it elsewhere.
-    unsigned Crashes = 0;
+    unsigned CrashCount = 0;
     // May run beside no other suspect.
     bool Suspected = false;
     // Has started, and its request has not gone out yet.
-    bool Unsent = false;
+    bool AwaitingSend = false;
     // Why its connection ended, while it is open whether that was a crash.
-    std::optional<Error> Broken;
-    std::string Recorded;
+    std::optional<Error> ConnectionError;
+    std::string RecordedAnswer;
     bool Recordable = true;
 
-    explicit Call(uint64_t Window) : Response(Window) {}
+    explicit CallRecord(uint64_t Window) : AnswerBody(Window) {}
 
     /// Whether the upstream has not seen, and so not run, anything of it yet.
-    bool isUnseen() const {
-      return this->Now == State::Waiting || this->Now == State::Admitted;
+    bool isUnstarted() const {
+      return this->Phase == State::Waiting || this->Phase == State::Admitted;
     }
   };
 
   struct LinkState {
     // Set while what arrives was sent before the end of our pause.
-    std::optional<uint64_t> Barrier;
+    std::optional<uint64_t> PauseBarrier;
   };
 
   void onOpen(LinkId Link, const wire::OpenT &Open, TimePoint Now);
   void onResume(LinkId Link, const wire::OpenT &Open, TimePoint Now);
-  void judge(const CallId &Id, Call &One, const wire::OpenT &Open,
-             TimePoint Now);
-  bool judgeKey(const CallId &Id, Call &One, TimePoint Now);
-  void replay(const CallId &Id, Call &One, KeyJudge::Answer Known,
-              TimePoint Now);
-  void takeSlot(const CallId &Id, Call &One, TimePoint Now);
-  void start(const CallId &Id, Call &One, TimePoint Now);
-  bool mayRun(const CallId &Id, Call &One, TimePoint Now);
-  void connectionEnded(const CallId &Id, Call &One, const Error &Why,
-                       TimePoint Now);
-  void failBroken(const CallId &Id, const char *Reason, TimePoint Now);
-  void askWhetherCold(TimePoint Now);
-  void settleSend(Call &One);
-  void upstreamGone(TimePoint Now);
-  void upstreamBack(TimePoint Now);
-  void lookForUpstream(TimePoint Now);
-  void probe();
-  void tellLinks(TimePoint Now);
+  void evaluate(const CallId &Id, CallRecord &One, const wire::OpenT &Open,
+                TimePoint Now);
+  bool checkIdempotencyKey(const CallId &Id, CallRecord &One, TimePoint Now);
+  void replayAnswer(const CallId &Id, CallRecord &One, KeyJudge::Answer Known,
+                    TimePoint Now);
+  void onSlotGranted(const CallId &Id, CallRecord &One, TimePoint Now);
+  void startCall(const CallId &Id, CallRecord &One, TimePoint Now);
+  bool checkQuarantine(const CallId &Id, CallRecord &One, TimePoint Now);
+  void onConnectionLost(const CallId &Id, CallRecord &One, const Error &Why,
+                        TimePoint Now);
+  void failDisconnected(const CallId &Id, const char *Reason, TimePoint Now);
+  void queryHealthIfNeeded(TimePoint Now);
+  void releaseSendReservation(CallRecord &One);
+  void markUpstreamGone(TimePoint Now);
+  void markUpstreamBack(TimePoint Now);
+  void reprobeIfDue(TimePoint Now);
+  void startProbe();
+  void announceState(TimePoint Now);
   void onData(LinkId Link, const wire::DataT &Data, TimePoint Now);
-  bool isHoldable(const Call &One) const;
-  bool fetchesFirst(const Call &One, TimePoint Now) const;
-  void fetch(const CallId &Id, Call &One, TimePoint Now);
-  void admit(const CallId &Id, Call &One, TimePoint Now);
-  void askForBody(const CallId &Id, const Call &One);
+  bool canBufferBody(const CallRecord &One) const;
+  bool shouldPrefetchBody(const CallRecord &One, TimePoint Now) const;
+  void prefetchBody(const CallId &Id, CallRecord &One, TimePoint Now);
+  void requestSlot(const CallId &Id, CallRecord &One, TimePoint Now);
+  void requestBody(const CallId &Id, const CallRecord &One);
   void grantTransfers(TimePoint Now);
-  void creditBody(const CallId &Id, const Call &One);
-  void bodyArrived(const CallId &Id, Call &One, bool Whole, TimePoint Now);
-  void forwardBody(const CallId &Id, Call &One, std::string_view Bytes);
+  void sendBodyCredit(const CallId &Id, const CallRecord &One);
+  void onBufferedBody(const CallId &Id, CallRecord &One, bool Whole,
+                      TimePoint Now);
+  void forwardBody(const CallId &Id, CallRecord &One, std::string_view Bytes);
   void onCredit(LinkId Link, const wire::CreditT &Credit, TimePoint Now);
   void onCancel(LinkId Link, const wire::CancelT &Cancel, TimePoint Now);
-  void refuse(const CallId &Id, Call &One, Refusal Why, TimePoint Now);
-  void refuseUnseen(const std::string &Reason, TimePoint Now);
-  void breakOff(const CallId &Id, Call &One, const Refusal &Why, TimePoint Now);
-  Call &enter(const CallId &Id, Millis Budget, LinkId Link, TimePoint Now);
-  void pump(TimePoint Now);
-  bool turnedAway(const CallId &Id, Call &One, const ResponseHead &Head,
-                  TimePoint Now);
-  void configureSlots(TimePoint Now);
-  void sendHead(const CallId &Id, const Call &One, TimePoint Now);
-  void sendAnswer(const CallId &Id, Call &One);
-  void sendFailed(const CallId &Id, const Call &One, TimePoint Now);
+  void refuse(const CallId &Id, CallRecord &One, Refusal Why, TimePoint Now);
+  void refuseUnstarted(const std::string &Reason, TimePoint Now);
+  void abortCall(const CallId &Id, CallRecord &One, const Refusal &Why,
+                 TimePoint Now);
+  CallRecord &addRecord(const CallId &Id, Millis Budget, LinkId Link,
+                        TimePoint Now);
+  void advanceQueue(TimePoint Now);
+  bool handleUpstreamRefusal(const CallId &Id, CallRecord &One,
+                             const ResponseHead &Head, TimePoint Now);
+  void configureAdmission(TimePoint Now);
+  void sendHead(const CallId &Id, const CallRecord &One, TimePoint Now);
+  void sendAnswer(const CallId &Id, CallRecord &One);
+  void sendFailed(const CallId &Id, const CallRecord &One, TimePoint Now);
   void sendPong(LinkId Link, uint64_t Nonce, TimePoint Now);
-  void endOrphans(TimePoint Now);
-  void onDue(const CallId &Id, TimePoint Now);
-  Call *find(const CallId &Id);
-  CallId idOn(LinkId Link, uint64_t Seq) const;
-  const Limit *limitNamed(const std::string &Name) const;
+  void abortAbandonedCalls(TimePoint Now);
+  void onTimer(const CallId &Id, TimePoint Now);
+  CallRecord *findCall(const CallId &Id);
+  CallId callIdOn(LinkId Link, uint64_t Seq) const;
+  const Limit *findLimit(const std::string &Name) const;
 
   static constexpr char StepAdmission[] = "admission";
   static constexpr char StepUpstream[] = "upstream";
-  static constexpr char UpstreamIsGone[] = "upstream-gone";
+  static constexpr char ReasonUpstreamGone[] = "upstream-gone";
 
   Options Opts;
   Hooks Hook;
-  Admission Slots;
-  KeyJudge Judge;
+  Admission AdmissionControl;
+  KeyJudge KeyChecker;
   TransferTurns Transfers;
-  RunWatch Watch;
+  RunWatch Runs;
   // Nobody takes connections at the upstream's address.
-  bool Gone = false;
+  bool UpstreamGone = false;
   // A probe is under way, or found nothing clear and is to be repeated.
-  bool Probing = false;
+  bool ProbePending = false;
   bool ProbeAgain = false;
-  TimePoint NextLook;
-  ConfigPtr InForce;
-  const Service *Of = nullptr;
+  TimePoint NextProbe;
+  ConfigPtr ActiveConfig;
+  const Service *ServiceConfig = nullptr;
   // Of this upstream, by the list; 0 where it does not say.
   uint32_t ListedSlots = 0;
   // The upstream that the list named last, where it named one.
-  std::optional<Instance> ListedAs;
+  std::optional<Instance> ListedInstance;
   // Calls whose link was lost, and when.
-  std::map<CallId, TimePoint> Unlinked;
-  std::map<CallId, Call> Calls;
+  std::map<CallId, TimePoint> LinkLostAt;
+  std::map<CallId, CallRecord> Calls;
   // When each call is to be looked at next: first at its deadline, then when
   // it may be forgotten.
-  std::multimap<TimePoint, CallId> Due;
+  std::multimap<TimePoint, CallId> Timers;
   std::map<LinkId, LinkState> Links;
   // The entry at the other end of each link.
-  std::map<LinkId, uint64_t> Entries;
+  std::map<LinkId, uint64_t> EntryByLink;
   uint64_t LastNonce = 0;
   Counters Counts;
 };
--- a/src/calls/GateBodies.cpp
+++ b/src/calls/GateBodies.cpp
@@ -13,14 +13,14 @@
 namespace hickorylift {
 
 // A body that is held here until it is whole costs memory, up to the window.
-bool Gate::isHoldable(const Call &One) const {
-  return One.Head.Length > 0 &&
-         static_cast<uint64_t>(One.Head.Length) <= this->Opts.Window;
+bool Gate::canBufferBody(const CallRecord &One) const {
+  return One.Request.Length > 0 && static_cast<uint64_t>(One.Request.Length) <=
+                                       this->Opts.BodyWindowBytes;
 }
 
-bool Gate::fetchesFirst(const Call &One, TimePoint Now) const {
-  return One.BodyHeld && this->isHoldable(One) &&
-         this->Transfers.usual(Now) >= this->Opts.FetchFirstFrom;
+bool Gate::shouldPrefetchBody(const CallRecord &One, TimePoint Now) const {
+  return One.EntryHoldsBody && this->canBufferBody(One) &&
+         this->Transfers.usual(Now) >= this->Opts.PrefetchThreshold;
 }
 
 // A slot that waits for a body is missing to others: on a link of 7 Mbit/s a
@@ -30,11 +30,11 @@
 //
 // Bodies that cannot be whole in time are refused before they fill the link:
 // where more come than it carries, all would be late else.
-void Gate::fetch(const CallId &Id, Call &One, TimePoint Now) {
+void Gate::prefetchBody(const CallId &Id, CallRecord &One, TimePoint Now) {
   std::optional<Admission::Answer> No =
-      this->Slots.wouldRefuse(One.Wanted, Now);
+      this->AdmissionControl.wouldRefuse(One.SlotRequest, Now);
   Clock::duration Whole = this->Transfers.expected(Now);
-  if (!No && !this->Slots.onTarget(One.Wanted, Whole, Now)) {
+  if (!No && !this->AdmissionControl.onTarget(One.SlotRequest, Whole, Now)) {
     No.emplace();
     No->Why =
         makeRefusal(Outcome::NotRun, "overload", "transfer", this->Opts.Self);
@@ -44,86 +44,89 @@
     No->Why.Peer = this->Opts.Self;
     return this->refuse(Id, One, No->Why, Now);
   }
-  One.Fetching = true;
-  One.BodyHeld = false;
+  One.Prefetching = true;
+  One.EntryHoldsBody = false;
   if (this->Transfers.ask(Id, Now))
-    this->askForBody(Id, One);
+    this->requestBody(Id, One);
 }
 
 // The call has its slot. It starts once its body is here.
-void Gate::takeSlot(const CallId &Id, Call &One, TimePoint Now) {
-  if (!this->isHoldable(One) || One.Request.ended())
-    return this->start(Id, One, Now);
-  One.Now = State::Admitted;
-  if (!std::exchange(One.BodyHeld, false))
+void Gate::onSlotGranted(const CallId &Id, CallRecord &One, TimePoint Now) {
+  if (!this->canBufferBody(One) || One.RequestBody.ended())
+    return this->startCall(Id, One, Now);
+  One.Phase = State::Admitted;
+  if (!std::exchange(One.EntryHoldsBody, false))
     // What came while it waited had no credit, and the rest waits for that.
-    this->creditBody(Id, One);
+    this->sendBodyCredit(Id, One);
   else if (this->Transfers.ask(Id, Now))
-    this->askForBody(Id, One);
+    this->requestBody(Id, One);
 }
 
-void Gate::askForBody(const CallId &Id, const Call &One) {
+void Gate::requestBody(const CallId &Id, const CallRecord &One) {
   if (!One.Linked)
     return;
   wire::AdmittedT Go;
   Go.seq = Id.Seq;
-  Go.request_received = One.Request.received();
+  Go.request_received = One.RequestBody.received();
   this->Hook.Send(One.Link, callFrame(Go));
 }
 
 void Gate::grantTransfers(TimePoint Now) {
   for (const CallId &Id : this->Transfers.next(Now))
-    if (Call *One = this->find(Id);
-        One && (One->Now == State::Running || One->isUnseen()))
-      this->askForBody(Id, *One);
+    if (CallRecord *One = this->findCall(Id);
+        One && (One->Phase == State::Running || One->isUnstarted()))
+      this->requestBody(Id, *One);
 }
 
-void Gate::forwardBody(const CallId &Id, Call &One, std::string_view Bytes) {
+void Gate::forwardBody(const CallId &Id, CallRecord &One,
+                       std::string_view Bytes) {
   if (!Bytes.empty())
     this->Hook.Body(Id, Bytes);
-  if (One.Request.ended())
+  if (One.RequestBody.ended())
     this->Hook.BodyEnd(Id);
 }
 
 // Credits for a body that no upstream has taken yet: what is here is here.
-void Gate::creditBody(const CallId &Id, const Call &One) {
+void Gate::sendBodyCredit(const CallId &Id, const CallRecord &One) {
   wire::CreditT Credit;
   Credit.seq = Id.Seq;
-  Credit.consumed = One.Request.received();
+  Credit.consumed = One.RequestBody.received();
   this->Hook.Send(One.Link, callFrame(Credit));
 }
 
-void Gate::bodyArrived(const CallId &Id, Call &One, bool Whole, TimePoint Now) {
+void Gate::onBufferedBody(const CallId &Id, CallRecord &One, bool Whole,
+                          TimePoint Now) {
   if (!Whole)
-    return this->creditBody(Id, One);
-  One.Fetching ? this->admit(Id, One, Now) : this->start(Id, One, Now);
+    return this->sendBodyCredit(Id, One);
+  One.Prefetching ? this->requestSlot(Id, One, Now)
+                  : this->startCall(Id, One, Now);
 }
 
 void Gate::onData(LinkId Link, const wire::DataT &Data, TimePoint Now) {
-  CallId Id = this->idOn(Link, Data.seq);
-  Call *One = this->find(Id);
-  if (!One || One->Link != Link || One->Request.ended())
+  CallId Id = this->callIdOn(Link, Data.seq);
+  CallRecord *One = this->findCall(Id);
+  if (!One || One->Link != Link || One->RequestBody.ended())
     return;
   std::string_view Bytes(reinterpret_cast<const char *>(Data.bytes.data()),
                          Data.bytes.size());
   std::optional<std::string_view> New =
-      One->Request.accept(Data.offset, Bytes, Data.end);
+      One->RequestBody.accept(Data.offset, Bytes, Data.end);
   if (!New) {
     Refusal Gap = makeRefusal(Outcome::NotRun, "body-gap", StepAdmission,
                               this->Opts.Self);
-    if (One->isUnseen())
+    if (One->isUnstarted())
       return this->refuse(Id, *One, std::move(Gap), Now);
     Gap.What = Outcome::Unknown;
-    if (One->Now == State::Running)
-      this->breakOff(Id, *One, Gap, Now);
+    if (One->Phase == State::Running)
+      this->abortCall(Id, *One, Gap, Now);
     return;
   }
-  bool Whole = One->Request.ended();
-  if (One->isUnseen())
-    One->EarlyBody.append(*New);
-  if (One->Fetching || One->Now == State::Admitted)
-    this->bodyArrived(Id, *One, Whole, Now);
-  else if (One->Now == State::Running)
+  bool Whole = One->RequestBody.ended();
+  if (One->isUnstarted())
+    One->BufferedBody.append(*New);
+  if (One->Prefetching || One->Phase == State::Admitted)
+    this->onBufferedBody(Id, *One, Whole, Now);
+  else if (One->Phase == State::Running)
     this->forwardBody(Id, *One, *New);
   if (!Whole)
     return;
--- a/src/calls/GateCallsTest.cpp
+++ b/src/calls/GateCallsTest.cpp
@@ -44,23 +44,23 @@
 // the upstream's mark, or another process at its address, makes that true.
 BOOST_DATA_TEST_CASE(OnlyMarkedRefusalsArePromises, data::make(Answers), Row) {
   Fixture Of;
-  Of.open(Of.openOf(1));
-  BOOST_REQUIRE(Of.Started.size() == 1u);
+  Of.sendOpen(Of.makeOpen(1));
+  BOOST_REQUIRE(Of.StartedCalls.size() == 1u);
   ResponseHead Head;
   Head.Status = Row.Status;
   Head.Length = 0;
   if (Row.Marked)
     Head.Headers = {{"Not-Run", "1"}};
-  Of.At->upstreamHead({7, 1}, Head, Of.Now);
-  const wire::FailedT *Failed = Of.failed();
+  Of.TestGate->upstreamHead({7, 1}, Head, Of.Now);
+  const wire::FailedT *Failed = Of.lastFailed();
   BOOST_TEST((Failed ? Failed->reason : "") == Row.Reason);
   if (Failed)
     BOOST_TEST((Failed->outcome == Row.What));
 }
 
 BOOST_FIXTURE_TEST_CASE(CallsNameTheUpstreamThatIsMeant, Fixture) {
-  this->open(this->openOf(1));
-  const HeaderList &Headers = this->Started.at(0).second.Headers;
+  this->sendOpen(this->makeOpen(1));
+  const HeaderList &Headers = this->StartedCalls.at(0).second.Headers;
   BOOST_TEST(findHeader(Headers, "Expect-Upstream") == "up-1");
   BOOST_TEST(findHeader(Headers, "Budget") == "1000");
 }
@@ -74,65 +74,65 @@
   Shed.Status = 503;
   Shed.Headers = {{"Not-Run", "1"}};
   for (uint64_t Seq = 1; Seq <= 20; ++Seq) {
-    this->open(this->openOf(Seq));
-    this->At->upstreamHead({7, Seq}, Shed, this->Now);
+    this->sendOpen(this->makeOpen(Seq));
+    this->TestGate->upstreamHead({7, Seq}, Shed, this->Now);
   }
-  BOOST_TEST(this->failed()->retry_after_ms == 30u);
-  size_t Before = this->Started.size();
+  BOOST_TEST(this->lastFailed()->retry_after_ms == 30u);
+  size_t Before = this->StartedCalls.size();
   for (uint64_t Seq = 101; Seq <= 110; ++Seq)
-    this->open(this->openOf(Seq));
-  BOOST_TEST(this->Started.size() - Before == 9u);
+    this->sendOpen(this->makeOpen(Seq));
+  BOOST_TEST(this->StartedCalls.size() - Before == 9u);
 }
 
 // The entry's process is gone, and with it the caller's connection. What may be
 // repeated is not worked on for nobody; an approval that runs is left to run.
 BOOST_FIXTURE_TEST_CASE(SafeCallsOfALostEntryEnd, Fixture) {
-  wire::OpenT Safe = this->openOf(1);
+  wire::OpenT Safe = this->makeOpen(1);
   Safe.idempotent = true;
-  this->open(std::move(Safe));
-  this->open(this->openOf(2));
-  this->At->linkDown(Link, this->Now);
+  this->sendOpen(std::move(Safe));
+  this->sendOpen(this->makeOpen(2));
+  this->TestGate->linkDown(Link, this->Now);
   this->Now += Millis(400);
-  this->At->tick(this->Now);
-  BOOST_TEST(this->Cancelled.empty());
+  this->TestGate->tick(this->Now);
+  BOOST_TEST(this->CancelledCalls.empty());
   this->Now += Millis(200);
-  this->At->tick(this->Now);
-  BOOST_REQUIRE(this->Cancelled.size() == 1u);
-  BOOST_TEST(this->Cancelled.at(0).Seq == 1u);
+  this->TestGate->tick(this->Now);
+  BOOST_REQUIRE(this->CancelledCalls.size() == 1u);
+  BOOST_TEST(this->CancelledCalls.at(0).Seq == 1u);
 }
 
 // All slots are taken. The body of an upload comes meanwhile, a slot is asked
 // for when it is whole, and the upstream has all of it at once.
 BOOST_FIXTURE_TEST_CASE(BodiesComeBeforeTheyTakeASlot, Fixture) {
   this->listSlots(1);
-  this->slowLink();
-  this->open(this->openOf(1));
+  this->makeLinkSlow();
+  this->sendOpen(this->makeOpen(1));
   this->openUpload(2);
-  BOOST_TEST(this->asked() == (std::vector<uint64_t>{2}));
-  this->body(2, 0, 10000, /*End=*/false);
+  BOOST_TEST(this->requestedBodies() == (std::vector<uint64_t>{2}));
+  this->sendBody(2, 0, 10000, /*End=*/false);
   ResponseHead Head;
   Head.Status = 200;
   Head.Length = 0;
   this->Now += Millis(50);
-  this->At->upstreamHead({7, 1}, Head, this->Now);
-  BOOST_TEST(this->Started.size() == 1u);
-  BOOST_TEST(this->At->load(this->Now).in_flight() == 0u);
-  this->body(2, 10000, 10000, /*End=*/true);
-  BOOST_TEST(this->Started.size() == 2u);
+  this->TestGate->upstreamHead({7, 1}, Head, this->Now);
+  BOOST_TEST(this->StartedCalls.size() == 1u);
+  BOOST_TEST(this->TestGate->load(this->Now).in_flight() == 0u);
+  this->sendBody(2, 10000, 10000, /*End=*/true);
+  BOOST_TEST(this->StartedCalls.size() == 2u);
 }
 
 // A body does not come in time. Its caller is told that nothing was run, which
 // is true, and the call is not started by the rest of it.
 BOOST_FIXTURE_TEST_CASE(BodiesThatNeverComeAreRefused, Fixture) {
   this->listSlots(1);
-  this->slowLink();
+  this->makeLinkSlow();
   this->openUpload(2);
   this->Now += Millis(2001);
-  this->At->tick(this->Now);
-  BOOST_REQUIRE(this->failed());
-  BOOST_TEST((this->failed()->outcome == wire::Outcome::NotRun));
-  this->body(2, 0, 20000, /*End=*/true);
-  BOOST_TEST(this->Started.empty());
+  this->TestGate->tick(this->Now);
+  BOOST_REQUIRE(this->lastFailed());
+  BOOST_TEST((this->lastFailed()->outcome == wire::Outcome::NotRun));
+  this->sendBody(2, 0, 20000, /*End=*/true);
+  BOOST_TEST(this->StartedCalls.empty());
 }
 
 // More uploads come than the link carries. Those that could not be whole in
@@ -140,45 +140,45 @@
 // further.
 BOOST_FIXTURE_TEST_CASE(BodiesThatWouldBeLateAreNotAskedFor, Fixture) {
   this->listSlots(9);
-  this->slowLink();
+  this->makeLinkSlow();
   size_t Refused = 0;
   for (uint64_t Seq = 1; Seq <= 20; ++Seq) {
     this->openUpload(Seq);
-    Refused += this->failed() && this->failed()->seq == Seq;
+    Refused += this->lastFailed() && this->lastFailed()->seq == Seq;
   }
   BOOST_TEST(Refused >= 5u);
   BOOST_TEST(Refused <= 14u);
-  BOOST_REQUIRE(this->failed());
-  BOOST_TEST(this->failed()->seq == 20u);
-  BOOST_TEST(this->failed()->retry_after_ms > 0u);
-  BOOST_TEST(this->asked().size() == 2u);
+  BOOST_REQUIRE(this->lastFailed());
+  BOOST_TEST(this->lastFailed()->seq == 20u);
+  BOOST_TEST(this->lastFailed()->retry_after_ms > 0u);
+  BOOST_TEST(this->requestedBodies().size() == 2u);
 }
 
 // On a fast link a body comes once its call has a slot: it would come for
 // nothing if the slots were taken meanwhile.
 BOOST_FIXTURE_TEST_CASE(OnFastLinksBodiesComeAfterTheSlot, Fixture) {
   this->listSlots(1);
-  this->open(this->openOf(1));
+  this->sendOpen(this->makeOpen(1));
   this->openUpload(2);
-  BOOST_TEST(this->asked().empty());
+  BOOST_TEST(this->requestedBodies().empty());
 }
 
 // A body that is too long to be held here goes straight to the upstream.
-BOOST_FIXTURE_TEST_CASE(HeldBodyIsAskedForWhenTheCallRuns, Fixture) {
+BOOST_FIXTURE_TEST_CASE(UnfinishedCallsBodyIsAskedForWhenTheCallRuns, Fixture) {
   this->listSlots(1);
-  this->open(this->openOf(1));
-  wire::OpenT Long = this->openOf(2);
+  this->sendOpen(this->makeOpen(1));
+  wire::OpenT Long = this->makeOpen(2);
   Long.length = 300 * 1024;
   Long.holds_body = true;
-  this->open(std::move(Long));
-  BOOST_TEST(this->admitted() == 0u);
+  this->sendOpen(std::move(Long));
+  BOOST_TEST(this->admittedCount() == 0u);
   ResponseHead Head;
   Head.Status = 200;
   Head.Length = 0;
   this->Now += Millis(50);
-  this->At->upstreamHead({7, 1}, Head, this->Now);
-  BOOST_TEST(this->Started.size() == 2u);
-  BOOST_TEST(this->admitted() == 1u);
+  this->TestGate->upstreamHead({7, 1}, Head, this->Now);
+  BOOST_TEST(this->StartedCalls.size() == 2u);
+  BOOST_TEST(this->admittedCount() == 1u);
 }
 
 // Five uploads are admitted together, on a link that carries one body at a
@@ -187,19 +187,19 @@
 BOOST_FIXTURE_TEST_CASE(LongBodiesComeAFewAtATime, Fixture) {
   for (uint64_t Seq = 1; Seq <= 5; ++Seq)
     this->openUpload(Seq);
-  BOOST_TEST(this->asked() == (std::vector<uint64_t>{1, 2}));
+  BOOST_TEST(this->requestedBodies() == (std::vector<uint64_t>{1, 2}));
   wire::DataT Whole;
   Whole.seq = 1;
   Whole.bytes.assign(20000, 'x');
   Whole.end = true;
-  this->At->frame(Link, callFrame(std::move(Whole)), this->Now);
-  BOOST_TEST(this->asked() == (std::vector<uint64_t>{1, 2, 3}));
+  this->TestGate->handleFrame(Link, callFrame(std::move(Whole)), this->Now);
+  BOOST_TEST(this->requestedBodies() == (std::vector<uint64_t>{1, 2, 3}));
   wire::CancelT Gone;
   Gone.seq = 2;
-  this->At->frame(Link, callFrame(std::move(Gone)), this->Now);
-  BOOST_TEST(this->asked() == (std::vector<uint64_t>{1, 2, 3, 4}));
-  this->At->tick(this->Now + Millis(1100));
-  BOOST_TEST(this->asked() == (std::vector<uint64_t>{1, 2, 3, 4, 5}));
+  this->TestGate->handleFrame(Link, callFrame(std::move(Gone)), this->Now);
+  BOOST_TEST(this->requestedBodies() == (std::vector<uint64_t>{1, 2, 3, 4}));
+  this->TestGate->tick(this->Now + Millis(1100));
+  BOOST_TEST(this->requestedBodies() == (std::vector<uint64_t>{1, 2, 3, 4, 5}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -258,22 +258,22 @@
   Fixture Of;
   Of.listSlots(1);
   if (Row.How == Takes::BodyFirst)
-    Of.slowLink();
+    Of.makeLinkSlow();
   if (Row.How == Takes::Queue)
-    Of.open(Of.openOf(1));
+    Of.sendOpen(Of.makeOpen(1));
   Of.openUpload(2, /*Held=*/Row.How != Takes::SlotUnasked);
   if (Row.Came)
-    Of.body(2, 0, Row.Came, /*End=*/false);
-  Of.Started.clear();
-  Of.At->drain("list", Of.Now);
-  BOOST_REQUIRE(Of.failed());
-  BOOST_TEST(Of.failed()->seq == 2u);
-  BOOST_TEST(Of.failed()->reason == "draining");
-  BOOST_TEST((Of.failed()->outcome == wire::Outcome::NotRun));
-  Of.body(2, Row.Came, 20000 - Row.Came, /*End=*/true);
-  Of.At->tick(Of.Now + Millis(100));
-  BOOST_TEST(Of.Started.empty());
-  BOOST_TEST(Of.Cancelled.empty());
+    Of.sendBody(2, 0, Row.Came, /*End=*/false);
+  Of.StartedCalls.clear();
+  Of.TestGate->drain("list", Of.Now);
+  BOOST_REQUIRE(Of.lastFailed());
+  BOOST_TEST(Of.lastFailed()->seq == 2u);
+  BOOST_TEST(Of.lastFailed()->reason == "draining");
+  BOOST_TEST((Of.lastFailed()->outcome == wire::Outcome::NotRun));
+  Of.sendBody(2, Row.Came, 20000 - Row.Came, /*End=*/true);
+  Of.TestGate->tick(Of.Now + Millis(100));
+  BOOST_TEST(Of.StartedCalls.empty());
+  BOOST_TEST(Of.CancelledCalls.empty());
 }
 
 // An upload has its slot and half of its body. Whatever ends it then, its slot
@@ -284,33 +284,33 @@
   Fixture Of;
   Of.listSlots(1);
   Of.openUpload(1);
-  Of.body(1, 0, 10000, /*End=*/false);
-  BOOST_TEST(Of.At->load(Of.Now).in_flight() == 1u);
+  Of.sendBody(1, 0, 10000, /*End=*/false);
+  BOOST_TEST(Of.TestGate->load(Of.Now).in_flight() == 1u);
   wire::CancelT Gone;
   Gone.seq = 1;
   switch (Row.How) {
   case Ends::Close:
-    Of.At->drain("list", Of.Now);
+    Of.TestGate->drain("list", Of.Now);
     break;
   case Ends::LinkLost:
-    Of.At->linkDown(Fixture::Link, Of.Now);
+    Of.TestGate->linkDown(Fixture::Link, Of.Now);
     break;
   case Ends::CallerGone:
-    Of.At->frame(Fixture::Link, callFrame(std::move(Gone)), Of.Now);
+    Of.TestGate->handleFrame(Fixture::Link, callFrame(std::move(Gone)), Of.Now);
     break;
   case Ends::Deadline:
     Of.Now += Millis(2001);
-    Of.At->tick(Of.Now);
+    Of.TestGate->tick(Of.Now);
     break;
   }
   // Over a lost link nobody can be told.
-  BOOST_TEST((Of.failed() ? Of.failed()->reason : "") == Row.Reason);
-  if (Of.failed())
-    BOOST_TEST((Of.failed()->outcome == wire::Outcome::NotRun));
-  BOOST_TEST(Of.At->load(Of.Now).in_flight() == 0u);
-  Of.body(1, 10000, 10000, /*End=*/true);
-  BOOST_TEST(Of.Started.empty());
-  BOOST_TEST(Of.At->idle());
+  BOOST_TEST((Of.lastFailed() ? Of.lastFailed()->reason : "") == Row.Reason);
+  if (Of.lastFailed())
+    BOOST_TEST((Of.lastFailed()->outcome == wire::Outcome::NotRun));
+  BOOST_TEST(Of.TestGate->load(Of.Now).in_flight() == 0u);
+  Of.sendBody(1, 10000, 10000, /*End=*/true);
+  BOOST_TEST(Of.StartedCalls.empty());
+  BOOST_TEST(Of.TestGate->idle());
 }
 
 // An upload of this node's own callers waits for a slot, and as much of its
@@ -319,33 +319,33 @@
 // over.
 BOOST_FIXTURE_TEST_CASE(ASlotLetsTheRestOfABodyCome, Fixture) {
   this->listSlots(1);
-  this->open(this->openOf(1));
+  this->sendOpen(this->makeOpen(1));
   this->openUpload(2, /*Held=*/false);
-  this->body(2, 0, 16000, /*End=*/false);
-  this->Sent.clear();
+  this->sendBody(2, 0, 16000, /*End=*/false);
+  this->SentFrames.clear();
   ResponseHead Head;
   Head.Status = 200;
   Head.Length = 0;
-  this->At->upstreamHead({7, 1}, Head, this->Now);
+  this->TestGate->upstreamHead({7, 1}, Head, this->Now);
   uint64_t Credited = 0;
-  for (const wire::CallFrameT &Frame : this->Sent)
+  for (const wire::CallFrameT &Frame : this->SentFrames)
     if (const auto *Credit = Frame.payload.AsCredit())
       Credited = Credit->seq == 2 ? Credit->consumed : Credited;
   BOOST_TEST(Credited == 16000u);
-  this->body(2, 16000, 4000, /*End=*/true);
-  BOOST_TEST(this->Started.size() == 2u);
+  this->sendBody(2, 16000, 4000, /*End=*/true);
+  BOOST_TEST(this->StartedCalls.size() == 2u);
 }
 
 // The other side of it: a run that has begun is not broken off.
 BOOST_FIXTURE_TEST_CASE(WhatRunsGoesOn, Fixture) {
-  this->open(this->openOf(1));
+  this->sendOpen(this->makeOpen(1));
   this->openUpload(2);
-  this->body(2, 0, 20000, /*End=*/true);
-  BOOST_TEST(this->Started.size() == 2u);
-  this->At->drain("list", this->Now);
-  BOOST_TEST(!this->failed());
-  BOOST_TEST(this->Cancelled.empty());
-  BOOST_TEST(!this->At->idle());
+  this->sendBody(2, 0, 20000, /*End=*/true);
+  BOOST_TEST(this->StartedCalls.size() == 2u);
+  this->TestGate->drain("list", this->Now);
+  BOOST_TEST(!this->lastFailed());
+  BOOST_TEST(this->CancelledCalls.empty());
+  BOOST_TEST(!this->TestGate->idle());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/calls/GateColdTest.cpp
+++ b/src/calls/GateColdTest.cpp
@@ -31,29 +31,29 @@
     Own.Service = "a";
     Own.Upstream = Upstream;
     Own.ColdLeft = ColdLeft;
-    this->At->members({&Own}, this->Now);
+    this->TestGate->membersChanged({&Own}, this->Now);
   }
   void warm() {
     this->Now += Millis(600);
-    this->At->tick(this->Now);
-    this->At->upstreamTold(Millis(0), this->Now);
+    this->TestGate->tick(this->Now);
+    this->TestGate->upstreamReported(Millis(0), this->Now);
   }
   /// Started of so many calls that come together.
   size_t startedOf(size_t Calls, const std::string &Upstream = "up-1") {
-    size_t Before = this->Started.size();
+    size_t Before = this->StartedCalls.size();
     for (size_t I = 0; I < Calls; ++I) {
-      wire::OpenT Open = this->openOf(++this->LastSeq);
+      wire::OpenT Open = this->makeOpen(++this->LastSeq);
       Open.upstream = Upstream;
-      this->open(std::move(Open));
+      this->sendOpen(std::move(Open));
     }
-    return this->Started.size() - Before;
+    return this->StartedCalls.size() - Before;
   }
   void closeUpstream() {
     this->startedOf(1);
-    this->At->upstreamFailed(
+    this->TestGate->upstreamFailed(
         {7, this->LastSeq}, /*Sent=*/true,
         Error{Errc::Closed, "upstream-call", "up-1", "ended"}, this->Now);
-    this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+    this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
   }
 };
 
@@ -78,7 +78,7 @@
     {"its port is closed, and opens again",
      [](Fixture &Of) {
        Of.closeUpstream();
-       Of.At->upstreamProbed(UpstreamPort::Open, Of.Now);
+       Of.TestGate->upstreamProbed(UpstreamPort::Open, Of.Now);
      },
      true},
     {"another upstream answers in its place",
@@ -86,11 +86,11 @@
        Of.startedOf(1);
        ResponseHead Head;
        Head.Status = 421;
-       Of.At->upstreamHead({7, Of.LastSeq}, Head, Of.Now);
+       Of.TestGate->upstreamHead({7, Of.LastSeq}, Head, Of.Now);
      },
      true},
     {"it was left alone, as operators wanted",
-     [](Fixture &Of) { Of.At->doubtWarm(Of.Now); }, true},
+     [](Fixture &Of) { Of.TestGate->suspectRestart(Of.Now); }, true},
     {"another version says the same of it",
      [](Fixture &Of) { Of.configure(ColdRecords); }, false},
 };
@@ -104,31 +104,31 @@
 BOOST_DATA_TEST_CASE(SignsOfANewStart, data::make(Signs), Row) {
   Fixture Of;
   Of.warm();
-  Of.AskedHealth.clear();
+  Of.HealthQueries.clear();
   Of.Now += Millis(2000);
   Row.Happens(Of);
   Of.Now += Millis(1000);
-  Of.At->tick(Of.Now);
-  BOOST_TEST(Of.At->isCold(Of.Now) == Row.Cold);
-  BOOST_TEST(Of.AskedHealth.empty() != Row.Cold);
+  Of.TestGate->tick(Of.Now);
+  BOOST_TEST(Of.TestGate->isCold(Of.Now) == Row.Cold);
+  BOOST_TEST(Of.HealthQueries.empty() != Row.Cold);
   if (Row.Cold)
-    BOOST_TEST(Of.AskedHealth.front() == "/up");
+    BOOST_TEST(Of.HealthQueries.front() == "/up");
   BOOST_TEST(Of.startedOf(50) == (Row.Cold ? Bound : 50u));
   if (!Row.Cold)
     return;
-  Of.At->upstreamTold(Millis(0), Of.Now);
+  Of.TestGate->upstreamReported(Millis(0), Of.Now);
   BOOST_TEST(Of.startedOf(50) == 50u);
 }
 
 // Guards against calls that wait for their connections, and go out together
 // with others.
 BOOST_FIXTURE_TEST_CASE(WhatIsNotSentYetTakesUpRoom, Fixture) {
-  this->Sends = false;
+  this->SendsAtOnce = false;
   BOOST_TEST(this->startedOf(50) == Bound);
   this->Now += Millis(1500);
   BOOST_TEST(this->startedOf(50) == 0u);
-  for (const auto &[Id, Head] : this->Started)
-    this->At->upstreamSent(Id, this->Now);
+  for (const auto &[Id, Head] : this->StartedCalls)
+    this->TestGate->requestSent(Id, this->Now);
   this->Now += Millis(900);
   BOOST_TEST(this->startedOf(50) == 0u);
 }
@@ -139,18 +139,18 @@
   this->startedOf(Bound + 1);
   this->Now += Millis(300);
   this->startedOf(1);
-  BOOST_TEST(this->failed()->room_in_ms == 700u);
+  BOOST_TEST(this->lastFailed()->room_in_ms == 700u);
   this->warm();
   this->startedOf(200);
-  BOOST_TEST(this->failed()->room_in_ms == 0u);
+  BOOST_TEST(this->lastFailed()->room_in_ms == 0u);
 }
 
 // Guards against room that a call took and never used.
 BOOST_FIXTURE_TEST_CASE(WhatNeverGoesOutGivesItsRoomBack, Fixture) {
-  this->Sends = false;
+  this->SendsAtOnce = false;
   BOOST_TEST(this->startedOf(50) == Bound);
-  for (const auto &[Id, Head] : this->Started)
-    this->At->upstreamFailed(
+  for (const auto &[Id, Head] : this->StartedCalls)
+    this->TestGate->upstreamFailed(
         Id, /*Sent=*/false,
         Error{Errc::Timeout, "upstream-call", "up-1", "late"}, this->Now);
   BOOST_TEST(this->startedOf(50) == Bound);
@@ -162,20 +162,20 @@
   this->warm();
   this->startedOf(30);
   this->list("up-2");
-  this->At->upstreamFailed(
+  this->TestGate->upstreamFailed(
       {7, this->LastSeq}, /*Sent=*/true,
       Error{Errc::Closed, "upstream-call", "up-1", "ended"}, this->Now);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
-  BOOST_TEST(this->Crashes.empty());
+  this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
+  BOOST_TEST(this->ReportedCrashes.empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(ACrashWithinWhatItBearsIsBlamed, Fixture) {
   this->startedOf(3);
-  this->At->upstreamFailed(
+  this->TestGate->upstreamFailed(
       {7, this->LastSeq}, /*Sent=*/true,
       Error{Errc::Closed, "upstream-call", "up-1", "ended"}, this->Now);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
-  BOOST_TEST(this->Crashes.size() == 1u);
+  this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
+  BOOST_TEST(this->ReportedCrashes.size() == 1u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -207,14 +207,14 @@
 BOOST_DATA_TEST_CASE(AGateIsOpenWithoutAny, data::make(Reasons), Row) {
   GateFixture Of;
   for (const std::string &By : Row.Closes)
-    Of.At->drain(By, Of.Now);
+    Of.TestGate->drain(By, Of.Now);
   for (const std::string &By : Row.Opens)
-    Of.At->reopen(By, Of.Now);
-  Of.Sent.clear();
-  Of.open(Of.openOf(1));
-  BOOST_TEST(Of.Started.size() == (Row.Open ? 1u : 0u));
+    Of.TestGate->reopen(By, Of.Now);
+  Of.SentFrames.clear();
+  Of.sendOpen(Of.makeOpen(1));
+  BOOST_TEST(Of.StartedCalls.size() == (Row.Open ? 1u : 0u));
   if (!Row.Open)
-    BOOST_TEST(Of.failed()->reason == "draining");
+    BOOST_TEST(Of.lastFailed()->reason == "draining");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/calls/GateCrashes.cpp
+++ b/src/calls/GateCrashes.cpp
@@ -16,64 +16,69 @@
 } // namespace
 
 // Whether the call may start now. If not, it is refused.
-bool Gate::mayRun(const CallId &Id, Call &One, TimePoint Now) {
-  bool Whole = One.Head.Length <= 0 || One.Request.ended();
-  One.Print = fingerprintOf(
-      One.Head, findHeader(One.Head.Headers, this->Opts.Names.Customer),
-      Whole && One.Head.Length > 0 ? One.EarlyBody : "");
-  Quarantine::Verdict Known = this->Hook.Judge(One.Print, Now);
-  One.Suspected = Known.What != Quarantine::Standing::Free || One.Crashes != 0;
+bool Gate::checkQuarantine(const CallId &Id, CallRecord &One, TimePoint Now) {
+  bool Whole = One.Request.Length <= 0 || One.RequestBody.ended();
+  One.RequestFingerprint = fingerprintOf(
+      One.Request,
+      findHeader(One.Request.Headers, this->Opts.HeaderNames.Customer),
+      Whole && One.Request.Length > 0 ? One.BufferedBody : "");
+  Quarantine::Verdict Known =
+      this->Hook.CheckQuarantine(One.RequestFingerprint, Now);
+  One.Suspected =
+      Known.What != Quarantine::Standing::Free || One.CrashCount != 0;
   bool Held = Known.What == Quarantine::Standing::Held;
-  bool Beside = One.Suspected && this->Watch.hasOtherSuspect(One.Print);
+  bool Beside =
+      One.Suspected && this->Runs.hasOtherSuspect(One.RequestFingerprint);
   if (!Held && !Beside)
     return true;
   Refusal Why =
       makeRefusal(Outcome::NotRun, Held ? "quarantined" : "beside-suspect",
                   StepAdmission, this->Opts.Self);
-  Why.RetryAfter = Held ? Known.ComeBack : this->Opts.SuspectComeBack;
+  Why.RetryAfter = Held ? Known.ComeBack : this->Opts.SuspectRetryAfter;
   this->refuse(Id, One, std::move(Why), Now);
   return false;
 }
 
-void Gate::connectionEnded(const CallId &Id, Call &One, const Error &Why,
-                           TimePoint Now) {
-  One.Broken = Why;
-  switch (this->Watch.broke(Id, Now)) {
+void Gate::onConnectionLost(const CallId &Id, CallRecord &One, const Error &Why,
+                            TimePoint Now) {
+  One.ConnectionError = Why;
+  switch (this->Runs.broke(Id, Now)) {
   case RunWatch::Next::Probe:
-    return this->probe();
+    return this->startProbe();
   case RunWatch::Next::Wait:
     return;
   case RunWatch::Next::Crashed:
-    this->failBroken(Id, UpstreamCrashed, Now);
-    return this->pump(Now);
+    this->failDisconnected(Id, UpstreamCrashed, Now);
+    return this->advanceQueue(Now);
   }
 }
 
 void Gate::upstreamProbed(UpstreamPort Found, TimePoint Now) {
-  this->Probing = false;
+  this->ProbePending = false;
   this->ProbeAgain = Found == UpstreamPort::Unclear;
   if (this->ProbeAgain)
     return;
   if (Found == UpstreamPort::Open) {
-    for (const CallId &Id : this->Watch.settle())
-      this->failBroken(Id, UpstreamClosed, Now);
-    this->upstreamBack(Now);
-    return this->pump(Now);
+    for (const CallId &Id : this->Runs.settle())
+      this->failDisconnected(Id, UpstreamClosed, Now);
+    this->markUpstreamBack(Now);
+    return this->advanceQueue(Now);
   }
-  RunWatch::Crash Of = this->Watch.crashed(Now);
+  RunWatch::Crash Of = this->Runs.crashed(Now);
   std::vector<Quarantine::Ran> Ran;
   for (const CallId &Id : Of.Suspects)
-    if (const Call *One = this->find(Id))
-      Ran.push_back({One->Print, describeRequest(One->Head)});
+    if (const CallRecord *One = this->findCall(Id))
+      Ran.push_back({One->RequestFingerprint, describeRequest(One->Request)});
   // A leaving upstream ends by itself, and its port with it; a cold one under
   // more calls than it bears, whatever they are.
-  bool Explained = this->draining() || this->Slots.coldStart().isOverrun(Now);
+  bool Explained =
+      this->draining() || this->AdmissionControl.coldStart().isOverrun(Now);
   if (!Explained && !Ran.empty())
-    this->Hook.Crashed(Ran, Now);
+    this->Hook.UpstreamCrashed(Ran, Now);
   for (const CallId &Id : Of.Broken)
-    this->failBroken(Id, UpstreamCrashed, Now);
-  this->upstreamGone(Now);
-  this->pump(Now);
+    this->failDisconnected(Id, UpstreamCrashed, Now);
+  this->markUpstreamGone(Now);
+  this->advanceQueue(Now);
 }
 
 // The list names an upstream for seconds after it is gone. Whoever is sent here
@@ -81,45 +86,46 @@
 // calls used up their offers at gates like this one, and were refused while
 // others had room. So every entry with a link is told at once, and again when
 // the port is open.
-void Gate::upstreamGone(TimePoint Now) {
-  if (std::exchange(this->Gone, true))
+void Gate::markUpstreamGone(TimePoint Now) {
+  if (std::exchange(this->UpstreamGone, true))
     return;
-  this->NextLook = Now + this->Opts.LookAgain;
-  this->refuseUnseen(UpstreamIsGone, Now);
-  this->tellLinks(Now);
+  this->NextProbe = Now + this->Opts.ReprobeInterval;
+  this->refuseUnstarted(ReasonUpstreamGone, Now);
+  this->announceState(Now);
 }
 
-void Gate::upstreamBack(TimePoint Now) {
-  if (!std::exchange(this->Gone, false))
+void Gate::markUpstreamBack(TimePoint Now) {
+  if (!std::exchange(this->UpstreamGone, false))
     return;
-  this->doubtWarm(Now);
-  this->tellLinks(Now);
+  this->suspectRestart(Now);
+  this->announceState(Now);
 }
 
-void Gate::lookForUpstream(TimePoint Now) {
-  if (this->Watch.isProbeLate(Now))
+void Gate::reprobeIfDue(TimePoint Now) {
+  if (this->Runs.isProbeLate(Now))
     return this->upstreamProbed(UpstreamPort::Open, Now);
-  bool Due = this->Gone && Now >= this->NextLook;
+  bool Due = this->UpstreamGone && Now >= this->NextProbe;
   if (!Due && !this->ProbeAgain)
     return;
-  this->NextLook = Now + this->Opts.LookAgain;
+  this->NextProbe = Now + this->Opts.ReprobeInterval;
   this->ProbeAgain = false;
-  this->probe();
+  this->startProbe();
 }
 
-void Gate::probe() {
-  if (this->Hook.Probe && !std::exchange(this->Probing, true))
+void Gate::startProbe() {
+  if (this->Hook.Probe && !std::exchange(this->ProbePending, true))
     this->Hook.Probe();
 }
 
-void Gate::failBroken(const CallId &Id, const char *Reason, TimePoint Now) {
-  Call *One = this->find(Id);
-  if (!One || One->Now != State::Running)
+void Gate::failDisconnected(const CallId &Id, const char *Reason,
+                            TimePoint Now) {
+  CallRecord *One = this->findCall(Id);
+  if (!One || One->Phase != State::Running)
     return;
-  Error Why = One->Broken.value_or(Error());
-  this->Slots.finished(Id, /*Answered=*/false, Now);
-  One->Now = State::Finished;
-  this->breakOff(
+  Error Why = One->ConnectionError.value_or(Error());
+  this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
+  One->Phase = State::Finished;
+  this->abortCall(
       Id, *One, makeRefusal(Outcome::Unknown, Reason, Why.Step, Why.Peer), Now);
 }
 
--- a/src/calls/GateCrashesTest.cpp
+++ b/src/calls/GateCrashesTest.cpp
@@ -14,32 +14,32 @@
 /// A gate with calls under way whose connections can end.
 struct Fixture : GateFixture {
   void openPath(uint64_t Seq, const std::string &Path, uint8_t Crashes = 0) {
-    wire::OpenT Open = this->openOf(Seq);
+    wire::OpenT Open = this->makeOpen(Seq);
     Open.path = Path;
     Open.crashes = Crashes;
-    this->open(std::move(Open));
+    this->sendOpen(std::move(Open));
   }
   void connectionEnds(uint64_t Seq, Errc Code = Errc::Closed) {
-    this->At->upstreamFailed({7, Seq}, /*Sent=*/true,
-                             Error{Code, "upstream-call", "up-1", "ended"},
-                             this->Now);
+    this->TestGate->upstreamFailed(
+        {7, Seq}, /*Sent=*/true, Error{Code, "upstream-call", "up-1", "ended"},
+        this->Now);
   }
   void answer(uint64_t Seq) {
     ResponseHead Head;
     Head.Status = 200;
     Head.Length = 0;
-    this->At->upstreamHead({7, Seq}, Head, this->Now);
+    this->TestGate->upstreamHead({7, Seq}, Head, this->Now);
   }
   /// What the entry was told of the upstream: whether it is gone.
   std::vector<bool> toldGone() const {
     std::vector<bool> Out;
-    for (const wire::CallFrameT &One : this->Sent)
+    for (const wire::CallFrameT &One : this->SentFrames)
       if (const auto *Pong = One.payload.AsPong())
         Out.push_back(Pong->gone);
     return Out;
   }
   std::string reason() const {
-    return this->failed() ? this->failed()->reason : "";
+    return this->lastFailed() ? this->lastFailed()->reason : "";
   }
 };
 
@@ -82,17 +82,17 @@
   Fixture Of;
   Of.openPath(1, "/x");
   if (Row.Draining)
-    Of.At->drain("list", Of.Now);
+    Of.TestGate->drain("list", Of.Now);
   Of.connectionEnds(1, Row.Code);
-  BOOST_TEST(Of.Probes == (Row.Code == Errc::Closed ? 1u : 0u));
-  if (Row.Found && Of.Probes)
-    Of.At->upstreamProbed(*Row.Found, Of.Now);
+  BOOST_TEST(Of.ProbeCount == (Row.Code == Errc::Closed ? 1u : 0u));
+  if (Row.Found && Of.ProbeCount)
+    Of.TestGate->upstreamProbed(*Row.Found, Of.Now);
   Of.Now += Millis(150);
-  Of.At->tick(Of.Now);
+  Of.TestGate->tick(Of.Now);
   BOOST_TEST(Of.reason() == Row.Reason);
-  BOOST_TEST((Of.failed()->outcome == wire::Outcome::Unknown));
-  BOOST_TEST(Of.Crashes.size() == Row.Crashes);
-  BOOST_TEST(Of.At->idle());
+  BOOST_TEST((Of.lastFailed()->outcome == wire::Outcome::Unknown));
+  BOOST_TEST(Of.ReportedCrashes.size() == Row.Crashes);
+  BOOST_TEST(Of.TestGate->idle());
 }
 
 // Three requests run when the upstream crashes; the first connection to end
@@ -101,15 +101,15 @@
   for (uint64_t Seq = 1; Seq <= 3; ++Seq)
     this->openPath(Seq, "/" + std::to_string(Seq));
   this->connectionEnds(2);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
-  BOOST_REQUIRE(this->Crashes.size() == 1u);
-  BOOST_TEST(this->Crashes[0].size() == 3u);
-  BOOST_TEST(this->Crashes[0][1].Request == "GET /2");
+  this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
+  BOOST_REQUIRE(this->ReportedCrashes.size() == 1u);
+  BOOST_TEST(this->ReportedCrashes[0].size() == 3u);
+  BOOST_TEST(this->ReportedCrashes[0][1].Request == "GET /2");
   this->connectionEnds(1);
   this->connectionEnds(3);
-  BOOST_TEST(this->Probes == 1u);
-  BOOST_TEST(this->Crashes.size() == 1u);
-  BOOST_TEST(this->At->counters().Unknown == 3u);
+  BOOST_TEST(this->ProbeCount == 1u);
+  BOOST_TEST(this->ReportedCrashes.size() == 1u);
+  BOOST_TEST(this->TestGate->counters().Unknown == 3u);
   BOOST_TEST(this->reason() == "upstream-crashed");
 }
 
@@ -119,15 +119,15 @@
   for (uint64_t Seq = 1; Seq <= 5; ++Seq)
     this->openPath(Seq, "/x");
   for (uint64_t Seq = 1; Seq <= 5; ++Seq)
-    this->At->upstreamFailed(
+    this->TestGate->upstreamFailed(
         {7, Seq}, /*Sent=*/false,
         Error{Errc::Unreachable, "upstream-call", "up-1", "refused"},
         this->Now);
-  BOOST_TEST(this->Probes == 1u);
+  BOOST_TEST(this->ProbeCount == 1u);
   BOOST_TEST(this->reason() == "upstream-unreachable");
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+  this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
   // Nothing ran there, so nothing is suspected.
-  BOOST_TEST(this->Crashes.empty());
+  BOOST_TEST(this->ReportedCrashes.empty());
   BOOST_TEST(this->toldGone() == std::vector<bool>{true});
 }
 
@@ -136,14 +136,14 @@
 BOOST_FIXTURE_TEST_CASE(APortThatClosesLateIsAskedAgain, Fixture) {
   this->openPath(1, "/x");
   this->connectionEnds(1);
-  this->At->upstreamProbed(UpstreamPort::Unclear, this->Now);
+  this->TestGate->upstreamProbed(UpstreamPort::Unclear, this->Now);
   BOOST_TEST(this->reason() == "");
   this->Now += Millis(20);
-  this->At->tick(this->Now);
-  BOOST_TEST(this->Probes == 2u);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+  this->TestGate->tick(this->Now);
+  BOOST_TEST(this->ProbeCount == 2u);
+  this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
   BOOST_TEST(this->reason() == "upstream-crashed");
-  BOOST_TEST(this->Crashes.size() == 1u);
+  BOOST_TEST(this->ReportedCrashes.size() == 1u);
 }
 
 // The list names an upstream for seconds after its crash. Callers who are sent
@@ -153,35 +153,35 @@
 BOOST_FIXTURE_TEST_CASE(AnUpstreamThatIsGoneIsToldOf, Fixture) {
   this->openPath(1, "/x");
   this->connectionEnds(1);
-  this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+  this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
   BOOST_TEST(this->toldGone() == std::vector<bool>{true});
   this->openPath(2, "/y");
-  BOOST_TEST(this->Started.size() == 1u);
+  BOOST_TEST(this->StartedCalls.size() == 1u);
   BOOST_TEST(this->reason() == "upstream-gone");
-  BOOST_TEST((this->failed()->outcome == wire::Outcome::NotRun));
-  size_t Before = this->Probes;
+  BOOST_TEST((this->lastFailed()->outcome == wire::Outcome::NotRun));
+  size_t Before = this->ProbeCount;
   for (int I = 0; I < 10; ++I) {
     this->Now += Millis(100);
-    this->At->tick(this->Now);
-    this->At->upstreamProbed(UpstreamPort::Closed, this->Now);
+    this->TestGate->tick(this->Now);
+    this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
   }
-  BOOST_TEST(this->Probes == Before + 10);
-  this->At->upstreamProbed(UpstreamPort::Open, this->Now);
+  BOOST_TEST(this->ProbeCount == Before + 10);
+  this->TestGate->upstreamProbed(UpstreamPort::Open, this->Now);
   BOOST_TEST(this->toldGone() == (std::vector<bool>{true, false}));
   this->openPath(3, "/z");
-  BOOST_TEST(this->Started.size() == 2u);
+  BOOST_TEST(this->StartedCalls.size() == 2u);
 }
 
 // A caller sends a request that is held. It must not reach the upstream, and
 // its caller is told truly that it has not run, and when to come back.
-BOOST_FIXTURE_TEST_CASE(WhatIsHeldIsRefused, Fixture) {
-  this->Known = {Standing::Held, Millis(5000)};
+BOOST_FIXTURE_TEST_CASE(WhatIsUnfinishedCallsIsRefused, Fixture) {
+  this->QuarantineDecision = {Standing::Held, Millis(5000)};
   this->openPath(1, "/x");
-  BOOST_TEST(this->Started.empty());
-  BOOST_REQUIRE(this->failed());
+  BOOST_TEST(this->StartedCalls.empty());
+  BOOST_REQUIRE(this->lastFailed());
   BOOST_TEST(this->reason() == "quarantined");
-  BOOST_TEST((this->failed()->outcome == wire::Outcome::NotRun));
-  BOOST_TEST(this->failed()->retry_after_ms == 5000u);
+  BOOST_TEST((this->lastFailed()->outcome == wire::Outcome::NotRun));
+  BOOST_TEST(this->lastFailed()->retry_after_ms == 5000u);
 }
 
 // Of two suspects at one upstream a crash would not show which is to blame, and
@@ -189,20 +189,20 @@
 // runs of the same request may stand side by side.
 BOOST_FIXTURE_TEST_CASE(SuspectsRunOneAtATime, Fixture) {
   this->openPath(1, "/free");
-  this->Known = {Standing::Suspect, Millis(0)};
+  this->QuarantineDecision = {Standing::Suspect, Millis(0)};
   this->openPath(2, "/one");
   this->openPath(3, "/two");
-  BOOST_TEST(this->Started.size() == 2u);
+  BOOST_TEST(this->StartedCalls.size() == 2u);
   BOOST_TEST(this->reason() == "beside-suspect");
-  BOOST_TEST((this->failed()->outcome == wire::Outcome::NotRun));
+  BOOST_TEST((this->lastFailed()->outcome == wire::Outcome::NotRun));
   this->openPath(4, "/one");
-  BOOST_TEST(this->Started.size() == 3u);
+  BOOST_TEST(this->StartedCalls.size() == 3u);
   this->answer(2);
   this->openPath(5, "/two");
-  BOOST_TEST(this->Started.size() == 3u);
+  BOOST_TEST(this->StartedCalls.size() == 3u);
   this->answer(4);
   this->openPath(6, "/two");
-  BOOST_TEST(this->Started.size() == 4u);
+  BOOST_TEST(this->StartedCalls.size() == 4u);
 }
 
 // The entry has seen an upstream crash under the call a moment ago. The news
@@ -210,7 +210,7 @@
 BOOST_FIXTURE_TEST_CASE(ACallThatComesFromACrashIsASuspect, Fixture) {
   this->openPath(1, "/one", /*Crashes=*/1);
   this->openPath(2, "/two", /*Crashes=*/1);
-  BOOST_TEST(this->Started.size() == 1u);
+  BOOST_TEST(this->StartedCalls.size() == 1u);
   BOOST_TEST(this->reason() == "beside-suspect");
 }
 
@@ -218,17 +218,17 @@
 // that has read it whole, or it would be held at one of the two only.
 BOOST_FIXTURE_TEST_CASE(ABodyIsPartOfTheName, Fixture) {
   this->openUpload(1, /*Held=*/false);
-  this->body(1, 0, 12000, /*End=*/false);
-  this->body(1, 12000, 8000, /*End=*/true);
-  BOOST_REQUIRE(this->Started.size() == 1u);
+  this->sendBody(1, 0, 12000, /*End=*/false);
+  this->sendBody(1, 12000, 8000, /*End=*/true);
+  BOOST_REQUIRE(this->StartedCalls.size() == 1u);
   this->answer(1);
   RequestHead Head;
   Head.Method = "POST";
   Head.Path = "/x";
   Head.Length = 20000;
-  BOOST_REQUIRE(this->RanWell.size() == 1u);
-  BOOST_TEST(
-      (this->RanWell[0] == fingerprintOf(Head, "", std::string(20000, 'x'))));
+  BOOST_REQUIRE(this->AnsweredRequests.size() == 1u);
+  BOOST_TEST((this->AnsweredRequests[0] ==
+              fingerprintOf(Head, "", std::string(20000, 'x'))));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/calls/GateFixture.h
+++ b/src/calls/GateFixture.h
@@ -26,20 +26,20 @@
 struct GateFixture {
   static constexpr Gate::LinkId Link = 1;
 
-  std::unique_ptr<Gate> At;
-  std::vector<wire::CallFrameT> Sent;
-  std::vector<std::pair<CallId, RequestHead>> Started;
-  std::vector<CallId> Cancelled;
+  std::unique_ptr<Gate> TestGate;
+  std::vector<wire::CallFrameT> SentFrames;
+  std::vector<std::pair<CallId, RequestHead>> StartedCalls;
+  std::vector<CallId> CancelledCalls;
   /// What stands against every request.
-  Quarantine::Verdict Known;
+  Quarantine::Verdict QuarantineDecision;
   /// The requests of each crash that the gate told of.
-  std::vector<std::vector<Quarantine::Ran>> Crashes;
-  std::vector<Fingerprint> RanWell;
-  size_t Probes = 0;
+  std::vector<std::vector<Quarantine::Ran>> ReportedCrashes;
+  std::vector<Fingerprint> AnsweredRequests;
+  size_t ProbeCount = 0;
   /// Paths at which the upstream was asked how it is.
-  std::vector<std::string> AskedHealth;
+  std::vector<std::string> HealthQueries;
   /// Whether there is a connection for each request at once.
-  bool Sends = true;
+  bool SendsAtOnce = true;
   TimePoint Now = TimePoint(std::chrono::hours(1));
 
   /// A call with a long body that its entry sends once it is asked to, or as
@@ -55,34 +55,34 @@
     Open.target_ms = 500;
     Open.length = 20000;
     Open.holds_body = Held;
-    this->At->frame(Link, callFrame(std::move(Open)), this->Now);
+    this->TestGate->handleFrame(Link, callFrame(std::move(Open)), this->Now);
   }
-  void body(uint64_t Seq, uint64_t Offset, size_t Size, bool End) {
+  void sendBody(uint64_t Seq, uint64_t Offset, size_t Size, bool End) {
     wire::DataT Data;
     Data.seq = Seq;
     Data.offset = Offset;
     Data.bytes.assign(Size, 'x');
     Data.end = End;
-    this->At->frame(Link, callFrame(std::move(Data)), this->Now);
+    this->TestGate->handleFrame(Link, callFrame(std::move(Data)), this->Now);
   }
   /// Bodies have taken 100 ms each.
-  void slowLink() {
+  void makeLinkSlow() {
     for (uint64_t Seq = 90; Seq < 95; ++Seq) {
       this->openUpload(Seq);
       this->Now += Millis(100);
-      this->body(Seq, 0, 20000, /*End=*/true);
+      this->sendBody(Seq, 0, 20000, /*End=*/true);
       ResponseHead Head;
       Head.Status = 200;
       Head.Length = 0;
-      this->At->upstreamHead({7, Seq}, Head, this->Now);
+      this->TestGate->upstreamHead({7, Seq}, Head, this->Now);
     }
-    this->Started.clear();
-    this->Sent.clear();
+    this->StartedCalls.clear();
+    this->SentFrames.clear();
   }
   /// The calls whose bodies were asked for, in that order.
-  std::vector<uint64_t> asked() const {
+  std::vector<uint64_t> requestedBodies() const {
     std::vector<uint64_t> Out;
-    for (const wire::CallFrameT &Frame : this->Sent)
+    for (const wire::CallFrameT &Frame : this->SentFrames)
       if (const auto *Go = Frame.payload.AsAdmitted())
         Out.push_back(Go->seq);
     return Out;
@@ -92,45 +92,49 @@
     Gate::Options Opts;
     Opts.Self = "me";
     Opts.Service = "a";
-    Opts.Names.NotRun = "Not-Run";
-    Opts.Names.Expect = "Expect-Upstream";
-    Opts.Names.Budget = "Budget";
+    Opts.HeaderNames.NotRun = "Not-Run";
+    Opts.HeaderNames.Expect = "Expect-Upstream";
+    Opts.HeaderNames.Budget = "Budget";
     Gate::Hooks Hooks;
     Hooks.Send = [this](Gate::LinkId, wire::CallFrameT Frame) {
-      this->Sent.push_back(std::move(Frame));
+      this->SentFrames.push_back(std::move(Frame));
     };
     Hooks.Start = [this](const CallId &Id, const RequestHead &Head, bool) {
-      this->Started.emplace_back(Id, Head);
-      if (this->Sends)
-        this->At->upstreamSent(Id, this->Now);
+      this->StartedCalls.emplace_back(Id, Head);
+      if (this->SendsAtOnce)
+        this->TestGate->requestSent(Id, this->Now);
     };
     Hooks.Body = [](const CallId &, std::string_view) {};
     Hooks.BodyEnd = [](const CallId &) {};
-    Hooks.Cancel = [this](const CallId &Id) { this->Cancelled.push_back(Id); };
+    Hooks.Cancel = [this](const CallId &Id) {
+      this->CancelledCalls.push_back(Id);
+    };
     Hooks.PauseAnswer = [](const CallId &, bool) {};
-    Hooks.Judge = [this](const Fingerprint &, TimePoint) {
-      return this->Known;
+    Hooks.CheckQuarantine = [this](const Fingerprint &, TimePoint) {
+      return this->QuarantineDecision;
+    };
+    Hooks.RequestAnswered = [this](const Fingerprint &Of, TimePoint) {
+      this->AnsweredRequests.push_back(Of);
     };
-    Hooks.RanWell = [this](const Fingerprint &Of, TimePoint) {
-      this->RanWell.push_back(Of);
+    Hooks.UpstreamCrashed = [this](const std::vector<Quarantine::Ran> &Running,
+                                   TimePoint) {
+      this->ReportedCrashes.push_back(Running);
     };
-    Hooks.Crashed = [this](const std::vector<Quarantine::Ran> &Running,
-                           TimePoint) { this->Crashes.push_back(Running); };
-    Hooks.Probe = [this] { ++this->Probes; };
-    Hooks.AskHealth = [this](const std::string &Path) {
-      this->AskedHealth.push_back(Path);
+    Hooks.Probe = [this] { ++this->ProbeCount; };
+    Hooks.QueryHealth = [this](const std::string &Path) {
+      this->HealthQueries.push_back(Path);
     };
-    this->At = std::make_unique<Gate>(Opts, Hooks);
+    this->TestGate = std::make_unique<Gate>(Opts, Hooks);
     this->configure(GateRecords);
-    this->At->linkUp(Link, this->Now);
+    this->TestGate->linkUp(Link, this->Now);
     wire::CallHelloT Hello;
     Hello.incarnation = 7;
-    this->At->frame(Link, callFrame(std::move(Hello)), this->Now);
+    this->TestGate->handleFrame(Link, callFrame(std::move(Hello)), this->Now);
   }
 
   void configure(const std::string &Records) {
     FaultList Faults;
-    this->At->configure(
+    this->TestGate->configure(
         compileConfig(
             *Document::make(1, 1, *readRecordFile(Records, "f", Faults)),
             CompileOptions())
@@ -143,10 +147,10 @@
     Own.Name = "me";
     Own.Service = "a";
     Own.Slots = Slots;
-    this->At->members({&Own}, this->Now);
+    this->TestGate->membersChanged({&Own}, this->Now);
   }
 
-  wire::OpenT openOf(uint64_t Seq) const {
+  wire::OpenT makeOpen(uint64_t Seq) const {
     wire::OpenT Open;
     Open.seq = Seq;
     Open.entry = 7;
@@ -159,21 +163,21 @@
     Open.upstream = "up-1";
     return Open;
   }
-  void open(wire::OpenT Open) {
-    this->At->frame(Link, callFrame(std::move(Open)), this->Now);
+  void sendOpen(wire::OpenT Open) {
+    this->TestGate->handleFrame(Link, callFrame(std::move(Open)), this->Now);
   }
 
   /// The last frame about a call that failed; null if there is none.
-  const wire::FailedT *failed() const {
+  const wire::FailedT *lastFailed() const {
     const wire::FailedT *Last = nullptr;
-    for (const wire::CallFrameT &One : this->Sent)
+    for (const wire::CallFrameT &One : this->SentFrames)
       if (const auto *Failed = One.payload.AsFailed())
         Last = Failed;
     return Last;
   }
-  size_t admitted() const {
+  size_t admittedCount() const {
     size_t Count = 0;
-    for (const wire::CallFrameT &One : this->Sent)
+    for (const wire::CallFrameT &One : this->SentFrames)
       Count += One.payload.AsAdmitted() != nullptr;
     return Count;
   }
--- a/src/calls/GateUpstream.cpp
+++ b/src/calls/GateUpstream.cpp
@@ -18,19 +18,19 @@
 
 } // namespace
 
-void Gate::upstreamSent(const CallId &Id, TimePoint Now) {
-  this->Slots.coldStart().sent(Now);
-  if (Call *One = this->find(Id))
-    this->settleSend(*One);
+void Gate::requestSent(const CallId &Id, TimePoint Now) {
+  this->AdmissionControl.coldStart().sent(Now);
+  if (CallRecord *One = this->findCall(Id))
+    this->releaseSendReservation(*One);
 }
 
-void Gate::settleSend(Call &One) {
-  if (std::exchange(One.Unsent, false))
-    this->Slots.coldStart().settled();
+void Gate::releaseSendReservation(CallRecord &One) {
+  if (std::exchange(One.AwaitingSend, false))
+    this->AdmissionControl.coldStart().settled();
 }
 
-void Gate::upstreamConsumed(const CallId &Id, uint64_t Total, TimePoint) {
-  Call *One = this->find(Id);
+void Gate::requestConsumed(const CallId &Id, uint64_t Total, TimePoint) {
+  CallRecord *One = this->findCall(Id);
   if (!One || !One->Linked)
     return;
   wire::CreditT Credit;
@@ -41,14 +41,14 @@
 
 void Gate::upstreamHead(const CallId &Id, const ResponseHead &Head,
                         TimePoint Now) {
-  Call *One = this->find(Id);
-  if (!One || One->Now != State::Running)
+  CallRecord *One = this->findCall(Id);
+  if (!One || One->Phase != State::Running)
     return;
-  if (this->turnedAway(Id, *One, Head, Now))
-    return this->pump(Now);
-  One->HaveHead = true;
+  if (this->handleUpstreamRefusal(Id, *One, Head, Now))
+    return this->advanceQueue(Now);
+  One->HaveAnswerHead = true;
   One->AnsweredAt = Now;
-  One->Answer = Head;
+  One->AnswerHead = Head;
   this->sendHead(Id, *One, Now);
   if (Head.Length == 0)
     this->upstreamEnd(Id, Now);
@@ -58,14 +58,14 @@
 // that promise, so that the entry may try elsewhere; but only if the upstream
 // marks it. Without the mark, the same status says nothing, and to hand it on
 // would promise what nobody knows.
-bool Gate::turnedAway(const CallId &Id, Call &One, const ResponseHead &Head,
-                      TimePoint Now) {
-  const std::string &Mark = this->Opts.Names.NotRun;
+bool Gate::handleUpstreamRefusal(const CallId &Id, CallRecord &One,
+                                 const ResponseHead &Head, TimePoint Now) {
+  const std::string &Mark = this->Opts.HeaderNames.NotRun;
   // Where the list tells the slots, no more than those are ever in use, and a
   // shed is a fault of the upstream and not a want of room. Fewer calls would
   // be shed as often, and most slots would stand idle.
   if (Head.Status == ShedStatus && !this->ListedSlots)
-    this->Slots.shed(Now);
+    this->AdmissionControl.shed(Now);
   bool Promises = Head.Status == ShedStatus || Head.Status == TooManyStatus ||
                   Head.Status == TimeoutStatus ||
                   Head.Status == MisdirectedStatus;
@@ -76,111 +76,115 @@
                 !findHeader(Head.Headers, Mark).empty();
   bool Misdirected = Head.Status == MisdirectedStatus;
   if (Misdirected)
-    this->doubtWarm(Now);
+    this->suspectRestart(Now);
   if (Marked) {
     Refusal Why = makeRefusal(
         Outcome::NotRun, Misdirected ? "upstream-replaced" : "upstream-shed",
         StepUpstream, this->Opts.Self);
-    Why.RetryAfter = this->Opts.ShedComeBack;
+    Why.RetryAfter = this->Opts.ShedRetryAfter;
     this->refuse(Id, One, std::move(Why), Now);
     return true;
   }
-  this->Slots.finished(Id, /*Answered=*/false, Now);
-  this->Watch.forget(Id);
-  One.Now = State::Finished;
-  this->breakOff(Id, One,
-                 makeRefusal(Outcome::Unknown, "upstream-unmarked-refusal",
-                             StepUpstream, this->Opts.Self),
-                 Now);
+  this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
+  this->Runs.forget(Id);
+  One.Phase = State::Finished;
+  this->abortCall(Id, One,
+                  makeRefusal(Outcome::Unknown, "upstream-unmarked-refusal",
+                              StepUpstream, this->Opts.Self),
+                  Now);
   return true;
 }
 
 void Gate::upstreamData(const CallId &Id, std::string_view Bytes,
                         TimePoint Now) {
-  Call *One = this->find(Id);
-  if (!One || One->Now != State::Running)
+  CallRecord *One = this->findCall(Id);
+  if (!One || One->Phase != State::Running)
     return;
-  if (!One->Key.empty() && One->Recordable) {
-    One->Recordable =
-        One->Recorded.size() + Bytes.size() <= this->Opts.Keys.MaxAnswerBytes;
-    One->Recorded.append(Bytes);
+  if (!One->IdempotencyKey.empty() && One->Recordable) {
+    One->Recordable = One->RecordedAnswer.size() + Bytes.size() <=
+                      this->Opts.IdempotencyOpts.MaxAnswerBytes;
+    One->RecordedAnswer.append(Bytes);
   }
-  One->Response.append(Bytes);
+  One->AnswerBody.append(Bytes);
   One->AnswerBytes += Bytes.size();
   // An answer of known length is over with its last byte. The event that says
   // so comes a turn of the loop later, and the caller need not wait for it.
-  if (One->Answer.Length > 0 &&
-      One->AnswerBytes == static_cast<uint64_t>(One->Answer.Length))
+  if (One->AnswerHead.Length > 0 &&
+      One->AnswerBytes == static_cast<uint64_t>(One->AnswerHead.Length))
     return this->upstreamEnd(Id, Now);
   this->sendAnswer(Id, *One);
-  if (!One->AnswerPaused &&
-      One->Response.buffered() > AnswerHighWater * this->Opts.Window) {
+  if (!One->AnswerPaused && One->AnswerBody.buffered() >
+                                AnswerHighWater * this->Opts.BodyWindowBytes) {
     One->AnswerPaused = true;
     this->Hook.PauseAnswer(Id, true);
   }
 }
 
 void Gate::upstreamEnd(const CallId &Id, TimePoint Now) {
-  Call *One = this->find(Id);
-  if (!One || One->Now != State::Running)
+  CallRecord *One = this->findCall(Id);
+  if (!One || One->Phase != State::Running)
     return;
-  One->Now = State::Finished;
+  One->Phase = State::Finished;
   this->Transfers.forget(Id);
-  this->Watch.answered(Id, Now);
-  this->Hook.RanWell(One->Print, Now);
+  this->Runs.answered(Id, Now);
+  this->Hook.RequestAnswered(One->RequestFingerprint, Now);
   ++this->Counts.Answered;
-  this->Hook.Took(One->StartedAt - One->CameAt, Now - One->StartedAt);
-  One->Response.finish();
-  if (!One->Key.empty()) {
-    std::string Body = std::exchange(One->Recorded, "");
+  this->Hook.CallFinished(One->StartedAt - One->ArrivedAt,
+                          Now - One->StartedAt);
+  One->AnswerBody.finish();
+  if (!One->IdempotencyKey.empty()) {
+    std::string Body = std::exchange(One->RecordedAnswer, "");
     // Too long to replay: judged by its size there.
-    this->Judge.answered(One->Key, One->Answer, std::move(Body), Now);
+    this->KeyChecker.answered(One->IdempotencyKey, One->AnswerHead,
+                              std::move(Body), Now);
   }
-  this->Slots.finished(Id, One->Answer.Status != ShedStatus, Now);
+  this->AdmissionControl.finished(Id, One->AnswerHead.Status != ShedStatus,
+                                  Now);
   this->sendAnswer(Id, *One);
-  this->pump(Now);
+  this->advanceQueue(Now);
 }
 
-void Gate::doubtWarm(TimePoint Now) {
-  this->Slots.coldStart().doubt(Now);
-  this->askWhetherCold(Now);
+void Gate::suspectRestart(TimePoint Now) {
+  this->AdmissionControl.coldStart().doubt(Now);
+  this->queryHealthIfNeeded(Now);
 }
 
-void Gate::askWhetherCold(TimePoint Now) {
-  if (this->Of && !this->Gone && this->Slots.coldStart().asksNow(Now))
-    this->Hook.AskHealth(this->Of->HealthPath);
+void Gate::queryHealthIfNeeded(TimePoint Now) {
+  if (this->ServiceConfig && !this->UpstreamGone &&
+      this->AdmissionControl.coldStart().asksNow(Now))
+    this->Hook.QueryHealth(this->ServiceConfig->HealthPath);
 }
 
-void Gate::upstreamTold(std::optional<Millis> ColdLeft, TimePoint Now) {
-  this->Slots.coldStart().told(ColdLeft, Now);
-  this->pump(Now);
+void Gate::upstreamReported(std::optional<Millis> ColdLeft, TimePoint Now) {
+  this->AdmissionControl.coldStart().told(ColdLeft, Now);
+  this->advanceQueue(Now);
 }
 
 void Gate::upstreamFailed(const CallId &Id, bool Sent, const Error &Why,
                           TimePoint Now) {
-  Call *One = this->find(Id);
-  if (!One || One->Now != State::Running)
+  CallRecord *One = this->findCall(Id);
+  if (!One || One->Phase != State::Running)
     return;
   std::string Reason = "upstream-" + Why.Code.message();
   if (!Sent) {
-    if (!One->Key.empty())
-      this->Judge.notRun(One->Key);
+    if (!One->IdempotencyKey.empty())
+      this->KeyChecker.notRun(One->IdempotencyKey);
     this->refuse(Id, *One,
                  makeRefusal(Outcome::NotRun, Reason, Why.Step, Why.Peer), Now);
     // Its end may have been seen by nobody: nothing ran there.
     if (Why.Code == Errc::Unreachable)
-      this->probe();
+      this->startProbe();
   } else if (Why.Code == Errc::Closed && this->Hook.Probe) {
-    return this->connectionEnded(Id, *One, Why, Now);
+    return this->onConnectionLost(Id, *One, Why, Now);
   } else {
-    this->Watch.forget(Id);
-    this->Slots.finished(Id, /*Answered=*/false, Now);
-    One->Now = State::Finished;
-    this->breakOff(Id, *One,
-                   makeRefusal(Outcome::Unknown, Reason, Why.Step, Why.Peer),
-                   Now);
+    this->Runs.forget(Id);
+    this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
+    One->Phase = State::Finished;
+    this->abortCall(Id, *One,
+                    makeRefusal(Outcome::Unknown, Reason, Why.Step, Why.Peer),
+                    Now);
   }
-  this->pump(Now);
+  this->advanceQueue(Now);
 }
 
 } // namespace hickorylift
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -113,7 +113,7 @@
 void Node::makeCore() {
   NodeCore::Options Opts = this->Set.Core;
   Opts.CallEntry.Names = this->Names;
-  Opts.CallGate.Names = this->Names;
+  Opts.CallGate.HeaderNames = this->Names;
   Opts.setIdentity(this->Set.Name, this->Set.DataCentre, this->Set.DataCentres,
                    this->Set.Service, this->Incarnation);
   NodeCore::Hooks Hooks;
@@ -261,11 +261,11 @@
     this->Upstream->pauseAnswer(Id, Paused);
   };
   Hooks.Probe = [this] { this->Upstream->probe(); };
-  Hooks.AskHealth = [this](const std::string &Path) {
+  Hooks.QueryHealth = [this](const std::string &Path) {
     this->Upstream->askHealth(Path.empty() ? this->Set.HealthPath : Path,
                               ColdAnswerLimit);
   };
-  Hooks.Took = [this](Clock::duration Waited, Clock::duration Ran) {
+  Hooks.CallFinished = [this](Clock::duration Waited, Clock::duration Ran) {
     this->Operators->metrics().gateTook(Waited, Ran);
   };
   return Hooks;
@@ -275,7 +275,7 @@
   Gate &At = this->Core->gate();
   UpstreamClient::Hooks Hooks;
   Hooks.Sent = [&At](const CallId &Id, TimePoint Now) {
-    At.upstreamSent(Id, Now);
+    At.requestSent(Id, Now);
   };
   Hooks.Head = [&At](const CallId &Id, const ResponseHead &Head,
                      TimePoint Now) { At.upstreamHead(Id, Head, Now); };
@@ -296,7 +296,7 @@
     At.upstreamFailed(Id, Sent, Why, Now);
   };
   Hooks.Consumed = [&At](const CallId &Id, uint64_t Total, TimePoint Now) {
-    At.upstreamConsumed(Id, Total, Now);
+    At.requestConsumed(Id, Total, Now);
   };
   Hooks.Health = [this](const Result<HealthAnswer> &Said, TimePoint Now) {
     this->Core->health(Said, Now);
--- a/src/node/NodeCore.cpp
+++ b/src/node/NodeCore.cpp
@@ -61,8 +61,8 @@
   this->CallGate.Incarnation = Incarnation;
   this->CallGate.Seed = Incarnation;
   this->CallGate.Guards = this->Guards;
-  this->CallGate.Slots.Guards = this->Guards;
-  this->CallGate.Keys.Guards = this->Guards;
+  this->CallGate.AdmissionOpts.Guards = this->Guards;
+  this->CallGate.IdempotencyOpts.Guards = this->Guards;
 }
 
 NodeCore::NodeCore(const Options &GivenOpts, Platform &Source, Hooks GivenHooks)
@@ -139,14 +139,14 @@
   Out.ListAge = [this](TimePoint Now) {
     return this->Control->oldestListAge(Now);
   };
-  Out.Judge = [this](const Fingerprint &Of, TimePoint Now) {
+  Out.CheckQuarantine = [this](const Fingerprint &Of, TimePoint Now) {
     return this->Control->quarantine().judge(Of, Now);
   };
-  Out.RanWell = [this](const Fingerprint &Of, TimePoint Now) {
+  Out.RequestAnswered = [this](const Fingerprint &Of, TimePoint Now) {
     this->Control->quarantine().answered(Of, Now);
   };
-  Out.Crashed = [this](const std::vector<Quarantine::Ran> &Running,
-                       TimePoint Now) {
+  Out.UpstreamCrashed = [this](const std::vector<Quarantine::Ran> &Running,
+                               TimePoint Now) {
     this->Control->upstreamCrashed(Running, Now);
   };
   return Out;
@@ -158,7 +158,7 @@
 void NodeCore::sendToGate(const std::string &Gate, wire::CallFrameT Frame) {
   if (Gate == this->Opts.CallGate.Self)
     return this->Hook.Post([this, Frame = std::move(Frame)](TimePoint Now) {
-      this->At->frame(LocalLink, Frame, Now);
+      this->At->handleFrame(LocalLink, Frame, Now);
     });
   auto Link = this->GateLinks.find(Gate);
   if (Link != this->GateLinks.end())
@@ -190,7 +190,7 @@
 void NodeCore::pausedFor(Millis Gap, TimePoint Now) {
   this->Control->audit().add(Now, "paused", std::to_string(Gap.count()) + "ms",
                              "clock", "what lay in the sockets is suspect");
-  this->At->paused(Now);
+  this->At->processPaused(Now);
   this->From->paused(Now);
 }
 
@@ -236,7 +236,7 @@
   }
   auto Gate = this->LinkGates.find(Link);
   if (Gate == this->LinkGates.end())
-    return this->At->frame(Link, *Frame, Now);
+    return this->At->handleFrame(Link, *Frame, Now);
   std::string Name = Gate->second;
   this->From->frame(Name, *Frame, Now);
 }
@@ -264,7 +264,7 @@
 void NodeCore::membersChanged(TimePoint Now) {
   const Membership &Fleet = this->Control->members();
   this->From->membersChanged(Now);
-  this->At->members(Fleet.upstreams(this->Opts.CallGate.Service), Now);
+  this->At->membersChanged(Fleet.upstreams(this->Opts.CallGate.Service), Now);
   const Instance *Own = Fleet.find(this->Opts.CallGate.Self);
   bool WasListed = this->SeenAs != OwnEntry::Missing;
   this->noteOwnEntry(Own, Now);
@@ -282,7 +282,7 @@
     return this->drainGate(ByEvacuation, Now);
   if (!this->At->isDrainedBy(ByEvacuation))
     return;
-  this->At->doubtWarm(Now);
+  this->At->suspectRestart(Now);
   this->reopenGate(ByEvacuation, Now);
 }
 
@@ -307,7 +307,7 @@
 void NodeCore::health(const Result<HealthAnswer> &Said, TimePoint Now) {
   this->observe(Now);
   if (Said)
-    this->At->upstreamTold(Said->coldLeft(), Now);
+    this->At->upstreamReported(Said->coldLeft(), Now);
   bool Up = Said && Said->isWell();
   std::string Text = Said ? Said->Text.substr(0, MaxHealthText) : "";
   if (Up != this->UpstreamUp)
@@ -336,7 +336,7 @@
 void NodeCore::drainGate(const std::string &By, TimePoint Now) {
   if (this->At->isDrainedBy(By))
     return;
-  Gate::Held Left = this->At->held();
+  Gate::UnfinishedCalls Left = this->At->unfinishedCalls();
   std::string Outcome = "no new work; waiting=" + std::to_string(Left.Waiting) +
                         " admitted=" + std::to_string(Left.Admitted) +
                         " running=" + std::to_string(Left.Running);
@@ -351,7 +351,7 @@
   this->At->reopen(By, Now);
   this->Control->audit().add(Now, "gate-open", this->Opts.CallGate.Self, By,
                              this->At->draining()
-                                 ? "still closed: " + this->At->drainedBy()
+                                 ? "still closed: " + this->At->drainReasons()
                                  : "takes work again");
 }
 
--- a/src/operator/OperatorServer.cpp
+++ b/src/operator/OperatorServer.cpp
@@ -141,7 +141,7 @@
   Json::Value &Upstream = Out["upstream"];
   Upstream["reachable"] = this->Of.core().upstreamReachable();
   Upstream["says"] = this->Of.core().upstreamSays();
-  Upstream["drained_by"] = this->Of.core().gate().drainedBy();
+  Upstream["drained_by"] = this->Of.core().gate().drainReasons();
   Upstream["running"] = Load.in_flight();
   Upstream["waiting"] = Load.queued();
   Upstream["slots"] = Load.slots();
--- a/src/settings/Settings.cpp
+++ b/src/settings/Settings.cpp
@@ -204,7 +204,7 @@
     Entry::Options &To = this->Out.Core.CallEntry;
     To.Window = static_cast<uint64_t>(
         Calls.integer("window_bytes", To.Window, 4096, 64 << 20));
-    this->Out.Core.CallGate.Window = To.Window;
+    this->Out.Core.CallGate.BodyWindowBytes = To.Window;
     To.BodyWindow = static_cast<uint64_t>(
         Calls.integer("body_window_bytes", To.BodyWindow, 8192, 64 << 20));
     // Whatever is gathered is also held to be sent again, and a caller is not
@@ -227,11 +227,12 @@
         Calls.millis("silence_ms", To.SilenceLimit.count(), 20, 60000);
     To.FindAgain =
         Calls.millis("find_again_ms", To.FindAgain.count(), 0, 60000);
-    this->Out.Core.CallGate.RememberSlack = Calls.millis(
-        "remember_ms", this->Out.Core.CallGate.RememberSlack.count(), 0, MaxMs);
+    this->Out.Core.CallGate.RetainAfterDeadline = Calls.millis(
+        "remember_ms", this->Out.Core.CallGate.RetainAfterDeadline.count(), 0,
+        MaxMs);
     if (To.SilenceLimit < To.PingInterval)
       Calls.fault("silence_ms", "expected at least ping_ms");
-    if (this->Out.Core.CallGate.RememberSlack < To.FindAgain)
+    if (this->Out.Core.CallGate.RetainAfterDeadline < To.FindAgain)
       Calls.fault("remember_ms",
                   "expected at least find_again_ms: a gate that forgets "
                   "sooner would call a call that ran not run");
@@ -240,7 +241,7 @@
 
   void readKeys(JsonObject &Top) {
     JsonObject Keys = this->section(Top, "keys");
-    KeyJudge::Options &To = this->Out.Core.CallGate.Keys;
+    KeyJudge::Options &To = this->Out.Core.CallGate.IdempotencyOpts;
     To.MaxListAge =
         Keys.millis("max_list_age_ms", To.MaxListAge.count(), 1000, MaxMs);
     To.MaxKeys =
@@ -280,7 +281,7 @@
 
   void readColdStart(JsonObject &Top) {
     JsonObject Section = this->section(Top, "cold_start");
-    ColdStart::Options &To = this->Out.Core.CallGate.Slots.Cold;
+    ColdStart::Options &To = this->Out.Core.CallGate.AdmissionOpts.Cold;
     To.Overrun = Section.number("overrun", To.Overrun, 1, MostOverrun);
     To.Slack = Section.number("slack", To.Slack, 0, MostSlack);
     Section.finish();
