--- a/src/calls/Gate.h
+++ b/src/calls/Gate.h
@@ -14,14 +14,18 @@
 #include <map>
 #include <memory>
 
-// The Gate stands in front of one upstream and takes the calls that entries
-// send it. All work for the upstream goes through it.
+// A Gate runs on the same machine as one upstream and receives the calls that
+// entries (the callers' side, see Entry) send to it over links. Every call to
+// the upstream passes through its gate, which decides whether the call runs
+// now, waits for a slot or is refused, and which remembers each call so that
+// none runs twice. It does no I/O itself: it is told of events by its methods
+// and acts through its Hooks.
 //
-//   Gate At(Options, Hooks);
-//   At.configure(Config, Now);             // at each version in force
-//   At.frame(Link, Frame, Now);            // from an entry
-//   At.upstreamHead(Id, Head, Now);        // from the upstream
-//   At.tick(Now);
+//   Gate UpstreamGate(Options, Hooks);
+//   UpstreamGate.configure(Config, Now);            // each new configuration
+//   UpstreamGate.handleFrame(Link, Frame, Now);     // from an entry
+//   UpstreamGate.upstreamHead(Id, Head, Now);       // from the upstream
+//   UpstreamGate.tick(Now);                         // at short intervals
 
 namespace hickorylift {
 
@@ -30,97 +34,112 @@
   using LinkId = uint64_t;
 
   struct Options {
-    /// This instance's name, for refusals and for the keys' home.
+    /// This instance's name. Refusals carry it, and it decides which
+    /// idempotency keys have their home here.
     std::string Self;
     /// The service that the upstream serves; calls for another are refused.
     std::string Service;
-    /// Header fields of the deployment.
+    /// Names of the header fields that this deployment uses.
     Dialect HeaderNames;
-    /// Must differ from that of every earlier process in this place: entries
-    /// tell by it whether their calls are remembered.
+    /// Must differ from the incarnation of every earlier process of this
+    /// instance: an entry that sees it change knows that the gate has no
+    /// record of earlier calls.
     uint64_t Incarnation = 1;
-    /// Seed of the jitter in the advice when to come back.
+    /// Seed of the jitter in retry-after hints.
     uint64_t Seed = 1;
-    /// Bytes of a body that may be out without a credit, in each direction
-    /// of each call. Bounds the memory for one call.
+    /// Flow-control window: bytes of a body that may be sent before the
+    /// receiver grants credit, in each direction of each call. Bounds the
+    /// memory used for one call.
     uint64_t BodyWindowBytes = 256 * 1024;
-    /// Largest piece of a body in one frame.
+    /// Most bytes of a body in one Data frame.
     size_t MaxPieceBytes = 32 * 1024;
-    /// Added to a call's deadline before its id is forgotten. Must cover the
-    /// longest that an entry tries to find a call again.
+    /// How long after its deadline a call's record is kept. Must be at least
+    /// the time for which an entry tries to find a call again over a new link.
     Millis RetainAfterDeadline{10000};
-    /// How long a call that may be repeated runs on after its link was lost.
-    /// Must leave the entry time to come back over another; one that does not
-    /// is gone, and so is its caller.
+    /// How long an idempotent call keeps running after its link was lost. Must
+    /// leave the entry time to resume the call over a new link. An entry that
+    /// does not resume it has died or is unreachable, and the caller has lost
+    /// its connection with it.
     Millis AbandonedGrace{500};
-    /// Advice to a caller whose call the upstream turned away although it had a
-    /// slot: the next upstream, or the next moment, may take it, so it comes
-    /// back while its target can still be met.
+    /// Retry-after hint for a call that had a slot and that the upstream shed.
+    /// Another upstream, or the same one a moment later, may accept the call,
+    /// so the hint is short enough for a retry to meet the call's latency
+    /// target.
     Millis ShedRetryAfter{30};
-    /// Ids remembered at once. New calls are refused when full.
+    /// Call records kept at once. New calls are refused above this.
     size_t MaxCallRecords = 100000;
-    /// All on, but in scenarios.
+    /// All are on, except in scenarios that show what one of them prevents.
     Safeguards Guards;
-    /// Of the upstream's slots and queue.
+    /// Options for the upstream's slots and the queue of calls for them.
     Admission::Options AdmissionOpts;
-    /// Of the long bodies that come to the upstream.
+    /// Options for scheduling the transfers of long request bodies.
     TransferTurns::Options TransferOpts;
-    /// Where bodies take this long, they come before the call has a slot. Less
-    /// is a small part of most runs, and a body that comes first may come for
-    /// nothing, for the slots may be taken when it is there: on fast links that
-    /// only sends more bytes between data centres.
+    /// If a body usually takes at least this long to transfer, it is fetched
+    /// before its call asks for a slot. A shorter transfer is a small part of
+    /// most runs. A prefetched body may have been sent for nothing, because
+    /// all slots may be in use when it has arrived; on fast links prefetching
+    /// would only add traffic between data centres.
     Millis PrefetchThreshold{25};
-    /// Of the idempotency keys.
+    /// Options for recording idempotency keys.
     KeyJudge::Options IdempotencyOpts;
-    /// Of what runs at the upstream when it crashes.
+    /// Options for telling a crash of the upstream from a lost connection.
     RunWatch::Options CrashDetectorOpts;
-    /// Advice to the caller of a suspect that found another one running here,
-    /// and no other gate: about a run.
+    /// Retry-after hint for a call of a suspect request that was refused
+    /// because another suspect runs here, and that found no other gate. About
+    /// the length of one run.
     Millis SuspectRetryAfter{100};
-    /// Between two looks at an upstream that is gone.
+    /// Interval between two probes of an upstream that is gone.
     Millis ReprobeInterval{100};
   };
 
-  /// What the upstream's side is to do.
+  /// Actions that the gate asks its owner to perform.
   struct Hooks {
+    /// Sends a frame to the entry at the other end of the link.
     std::function<void(LinkId, wire::CallFrameT)> Send;
-    /// Starts a call at the upstream. MayRepeat: a kept connection that dies
-    /// may be replaced and the call sent again.
+    /// Starts a call at the upstream. With MayRepeat, the call may be sent
+    /// again over a new connection if a kept-alive one fails.
     std::function<void(const CallId &, const RequestHead &, bool MayRepeat)>
         Start;
+    /// Sends a part of the request body to the upstream.
     std::function<void(const CallId &, std::string_view)> Body;
+    /// The request body is complete.
     std::function<void(const CallId &)> BodyEnd;
-    /// Breaks the call off: the upstream sees its connection close.
+    /// Aborts the call by closing its connection to the upstream.
     std::function<void(const CallId &)> Cancel;
-    /// Stops or resumes reading the upstream's answer.
+    /// Pauses or resumes reading the upstream's answer.
     std::function<void(const CallId &, bool Paused)> PauseAnswer;
-    /// A call was answered whole: how long it waited for a slot, and ran.
+    /// A call was answered completely. Reports how long it waited for a slot
+    /// and how long it ran.
     std::function<void(Clock::duration Waited, Clock::duration Ran)>
         CallFinished = [](Clock::duration, Clock::duration) {};
+    /// Age of the oldest instance list; nothing while one is unknown.
     std::function<std::optional<Millis>(TimePoint)> ListAge = [](TimePoint) {
       return Millis(0);
     };
-    /// What is known against a request.
+    /// Whether a request is quarantined or suspected of crashing upstreams.
     std::function<Quarantine::Verdict(const Fingerprint &, TimePoint)>
         CheckQuarantine = [](const Fingerprint &, TimePoint) {
           return Quarantine::Verdict();
         };
-    /// A request ran to an answer.
+    /// The upstream answered a request completely.
     std::function<void(const Fingerprint &, TimePoint)> RequestAnswered =
         [](const Fingerprint &, TimePoint) {};
-    /// The upstream crashed under these.
+    /// The upstream crashed while these requests were running.
     std::function<void(const std::vector<Quarantine::Ran> &, TimePoint)>
         UpstreamCrashed =
             [](const std::vector<Quarantine::Ran> &, TimePoint) {};
-    /// Asks the upstream how it is, at this path or, where it is empty, the
-    /// usual one; upstreamTold follows, within Slots.Cold.AskAgain or never.
+    /// Queries the upstream's health endpoint at this path, or at the default
+    /// one if the path is empty. The owner calls upstreamReported() with the
+    /// result within the cold start limiter's query interval, or never.
     std::function<void(const std::string &Path)> QueryHealth =
         [](const std::string &) {};
-    /// Finds out whether the upstream takes connections; upstreamProbed
-    /// follows. Where there is none, no crash is told from a lost answer.
+    /// Checks whether the upstream accepts connections; the owner then calls
+    /// upstreamProbed(). Without this hook, a crash of the upstream is treated
+    /// like a lost answer.
     std::function<void()> Probe;
   };
 
+  /// Totals since the gate was created.
   struct Counters {
     uint64_t Started = 0;
     uint64_t Answered = 0;
@@ -128,11 +147,13 @@
     std::map<std::string, uint64_t> RefusedBy;
   };
 
-  Gate(Options Opts, Hooks Hooks);
+  Gate(Options GivenOpts, Hooks GivenHooks);
 
-  void configure(const ConfigPtr &New, TimePoint Now);
+  void configure(const ConfigPtr &NewConfig, TimePoint Now);
+  /// The instance list has changed; Upstreams are those of this service.
   void membersChanged(const std::vector<const Instance *> &Upstreams,
                       TimePoint Now);
+  /// An entry has opened a link to this gate.
   void linkUp(LinkId Link, TimePoint Now);
   void linkDown(LinkId Link, TimePoint Now);
   void handleFrame(LinkId Link, const wire::CallFrameT &Frame, TimePoint Now);
@@ -140,49 +161,54 @@
   void upstreamHead(const CallId &Id, const ResponseHead &Head, TimePoint Now);
   void upstreamData(const CallId &Id, std::string_view Bytes, TimePoint Now);
   void upstreamEnd(const CallId &Id, TimePoint Now);
-  /// Sent is false only where it is certain that no byte of the request
-  /// reached the upstream.
-  void upstreamFailed(const CallId &Id, bool Sent, const Error &Why,
+  /// The call ended without an answer. Sent is false only if it is certain
+  /// that no byte of the request reached the upstream.
+  void upstreamFailed(const CallId &Id, bool Sent, const Error &Cause,
                       TimePoint Now);
-  void upstreamProbed(UpstreamPort Found, TimePoint Now);
-  /// The upstream has said how long it stays cold.
+  /// The result of Hooks::Probe.
+  void upstreamProbed(UpstreamPort Probed, TimePoint Now);
+  /// The upstream has reported how long it stays cold; nothing if it did not
+  /// say.
   void upstreamReported(std::optional<Millis> ColdLeft, TimePoint Now);
-  /// A request has gone out to the upstream: of this call, or nobody's, as a
-  /// question how the upstream is.
+  /// A request has been written to the upstream: that of this call, or a
+  /// health query if the id belongs to no call.
   void requestSent(const CallId &Id, TimePoint Now);
-  /// The upstream's side has written this much of the request's body.
+  /// Total bytes of the call's request body written to the upstream so far.
   void requestConsumed(const CallId &Id, uint64_t Total, TimePoint Now);
 
-  /// Closes the gate to new work, for one more reason. Calls of which the
-  /// upstream has seen nothing are refused; those that run go on.
-  void drain(const std::string &By, TimePoint Now);
-  /// A reason is gone. Without any, it takes work again and tells the entries.
-  void reopen(const std::string &By, TimePoint Now);
+  /// Adds a reason to close the gate to new calls. Calls of which the upstream
+  /// has received nothing are refused; running calls continue.
+  void drain(const std::string &Reason, TimePoint Now);
+  /// Removes a reason. When none is left, the gate accepts calls again and
+  /// notifies the entries.
+  void reopen(const std::string &Reason, TimePoint Now);
   bool draining() const { return this->AdmissionControl.draining(); }
-  bool isDrainedBy(const std::string &By) const {
-    return this->AdmissionControl.isDrainedBy(By);
+  bool isDrainedBy(const std::string &Reason) const {
+    return this->AdmissionControl.isDrainedBy(Reason);
   }
   std::string drainReasons() const {
     return this->AdmissionControl.drainedBy();
   }
-  /// The upstream may have become cold unseen.
+  /// The upstream may have become cold without the gate noticing.
   void suspectRestart(TimePoint Now);
   bool isCold(TimePoint Now) {
     return this->AdmissionControl.coldStart().isCold(Now);
   }
-  /// Whether nothing runs, waits, or still has to be told to an entry.
+  /// Whether no call runs or waits and no answer is still to be sent to an
+  /// entry.
   bool idle() const;
-  /// How far the calls are that are not over yet.
+  /// Counts of the calls that have not ended, by state.
   struct UnfinishedCalls {
     size_t Waiting = 0;
-    /// Have a slot, and wait for their bodies.
+    /// Have a slot and wait for their request bodies.
     size_t Admitted = 0;
     size_t Running = 0;
   };
   UnfinishedCalls unfinishedCalls() const;
 
-  /// This process stood still, and what lies in its sockets is of unknown age.
+  /// The process was paused: frames already in its sockets are of unknown age.
   void processPaused(TimePoint Now);
+  /// Handles everything that is due: deadlines, probes, queued calls.
   void tick(TimePoint Now);
 
   wire::Load load(TimePoint Now) { return this->AdmissionControl.load(Now); }
@@ -191,25 +217,27 @@
 
 private:
   enum class State {
-    /// For a slot, or for its body before it asks for one.
+    /// Waits for a slot, or for its body before it asks for a slot.
     Waiting,
-    /// Has a slot and waits for its body; the upstream has seen nothing of it.
+    /// Has a slot and waits for its body. The upstream has received nothing.
     Admitted,
     Running,
     Finished,
+    /// Ended without an answer: refused before it ran, or aborted.
     Refused,
   };
 
+  /// What the gate knows of one call, until some time after its deadline.
   struct CallRecord {
     State Phase = State::Waiting;
     LinkId Link = 0;
     bool Linked = false;
     RequestHead Request;
-    // The upstream that the entry means; empty for whichever is there.
+    // The upstream process that the entry chose; empty for any.
     std::string ExpectedUpstream;
-    // The entry sends the body only once it is asked to.
+    // The entry sends the body only when the gate requests it.
     bool EntryHoldsBody = false;
-    // Waits for its body, and asks for a slot when that is whole.
+    // Waits for its body and asks for a slot when that is complete.
     bool Prefetching = false;
     Admission::Ask SlotRequest;
     std::string LimitName;
@@ -220,6 +248,7 @@
     TimePoint AnsweredAt;
     TimePoint Deadline;
     ReceiveStream RequestBody;
+    // The part of the body that arrived before the call was started.
     std::string BufferedBody;
     bool HaveAnswerHead = false;
     ResponseHead AnswerHead;
@@ -227,78 +256,83 @@
     bool AnswerPaused = false;
     uint64_t AnswerBytes = 0;
     Refusal RefusalDetails;
-    // Names it while it runs.
+    // Identifies the request to crash detection and quarantine.
     Fingerprint RequestFingerprint;
-    // Upstreams that crashed under it elsewhere.
+    // Upstreams at other gates that crashed while running this call.
     unsigned CrashCount = 0;
-    // May run beside no other suspect.
+    // Must not run at the same time as another suspect request.
     bool Suspected = false;
-    // Has started, and its request has not gone out yet.
+    // Was started, and its request has not been written to the upstream yet.
     bool AwaitingSend = false;
-    // Why its connection ended, while it is open whether that was a crash.
+    // Why its connection ended, while it is not known yet whether the upstream
+    // crashed.
     std::optional<Error> ConnectionError;
+    // The answer's body, kept to replay it for the idempotency key.
     std::string RecordedAnswer;
+    // False once the answer is too long to be replayed.
     bool Recordable = true;
 
     explicit CallRecord(uint64_t Window) : AnswerBody(Window) {}
 
-    /// Whether the upstream has not seen, and so not run, anything of it yet.
+    /// Whether the upstream has received, and so run, nothing of the call yet.
     bool isUnstarted() const {
       return this->Phase == State::Waiting || this->Phase == State::Admitted;
     }
   };
 
   struct LinkState {
-    // Set while what arrives was sent before the end of our pause.
+    // Nonce of the ping sent after a pause of this process. Until its pong
+    // arrives, frames on the link may have been sent before the pause ended.
     std::optional<uint64_t> PauseBarrier;
   };
 
   void onOpen(LinkId Link, const wire::OpenT &Open, TimePoint Now);
   void onResume(LinkId Link, const wire::OpenT &Open, TimePoint Now);
-  void evaluate(const CallId &Id, CallRecord &One, const wire::OpenT &Open,
+  void evaluate(const CallId &Id, CallRecord &Call, const wire::OpenT &Open,
                 TimePoint Now);
-  bool checkIdempotencyKey(const CallId &Id, CallRecord &One, TimePoint Now);
-  void replayAnswer(const CallId &Id, CallRecord &One, KeyJudge::Answer Known,
-                    TimePoint Now);
-  void onSlotGranted(const CallId &Id, CallRecord &One, TimePoint Now);
-  void startCall(const CallId &Id, CallRecord &One, TimePoint Now);
-  bool checkQuarantine(const CallId &Id, CallRecord &One, TimePoint Now);
-  void onConnectionLost(const CallId &Id, CallRecord &One, const Error &Why,
+  bool checkIdempotencyKey(const CallId &Id, CallRecord &Call, TimePoint Now);
+  void replayAnswer(const CallId &Id, CallRecord &Call,
+                    KeyJudge::Answer Recorded, TimePoint Now);
+  void onSlotGranted(const CallId &Id, CallRecord &Call, TimePoint Now);
+  void startCall(const CallId &Id, CallRecord &Call, TimePoint Now);
+  bool checkQuarantine(const CallId &Id, CallRecord &Call, TimePoint Now);
+  void onConnectionLost(const CallId &Id, CallRecord &Call, const Error &Cause,
                         TimePoint Now);
   void failDisconnected(const CallId &Id, const char *Reason, TimePoint Now);
   void queryHealthIfNeeded(TimePoint Now);
-  void releaseSendReservation(CallRecord &One);
+  void releaseSendReservation(CallRecord &Call);
   void markUpstreamGone(TimePoint Now);
   void markUpstreamBack(TimePoint Now);
   void reprobeIfDue(TimePoint Now);
   void startProbe();
   void announceState(TimePoint Now);
   void onData(LinkId Link, const wire::DataT &Data, TimePoint Now);
-  bool canBufferBody(const CallRecord &One) const;
-  bool shouldPrefetchBody(const CallRecord &One, TimePoint Now) const;
-  void prefetchBody(const CallId &Id, CallRecord &One, TimePoint Now);
-  void requestSlot(const CallId &Id, CallRecord &One, TimePoint Now);
-  void requestBody(const CallId &Id, const CallRecord &One);
+  bool canBufferBody(const CallRecord &Call) const;
+  bool shouldPrefetchBody(const CallRecord &Call, TimePoint Now) const;
+  void prefetchBody(const CallId &Id, CallRecord &Call, TimePoint Now);
+  void requestSlot(const CallId &Id, CallRecord &Call, TimePoint Now);
+  void requestBody(const CallId &Id, const CallRecord &Call);
   void grantTransfers(TimePoint Now);
-  void sendBodyCredit(const CallId &Id, const CallRecord &One);
-  void onBufferedBody(const CallId &Id, CallRecord &One, bool Whole,
+  void sendBodyCredit(const CallId &Id, const CallRecord &Call);
+  void onBufferedBody(const CallId &Id, CallRecord &Call, bool Complete,
                       TimePoint Now);
-  void forwardBody(const CallId &Id, CallRecord &One, std::string_view Bytes);
+  void forwardBody(const CallId &Id, CallRecord &Call, std::string_view Bytes);
   void onCredit(LinkId Link, const wire::CreditT &Credit, TimePoint Now);
   void onCancel(LinkId Link, const wire::CancelT &Cancel, TimePoint Now);
-  void refuse(const CallId &Id, CallRecord &One, Refusal Why, TimePoint Now);
+  void refuse(const CallId &Id, CallRecord &Call, Refusal Details,
+              TimePoint Now);
   void refuseUnstarted(const std::string &Reason, TimePoint Now);
-  void abortCall(const CallId &Id, CallRecord &One, const Refusal &Why,
+  void abortCall(const CallId &Id, CallRecord &Call, const Refusal &Details,
                  TimePoint Now);
   CallRecord &addRecord(const CallId &Id, Millis Budget, LinkId Link,
                         TimePoint Now);
   void advanceQueue(TimePoint Now);
-  bool handleUpstreamRefusal(const CallId &Id, CallRecord &One,
+  bool handleUpstreamRefusal(const CallId &Id, CallRecord &Call,
                              const ResponseHead &Head, TimePoint Now);
   void configureAdmission(TimePoint Now);
-  void sendHead(const CallId &Id, const CallRecord &One, TimePoint Now);
-  void sendAnswer(const CallId &Id, CallRecord &One);
-  void sendFailed(const CallId &Id, const CallRecord &One, TimePoint Now);
+  void sendHead(const CallId &Id, const CallRecord &Call, TimePoint Now);
+  void sendAnswer(const CallId &Id, CallRecord &Call);
+  void sendFailed(const CallId &Id, const CallRecord &Call, TimePoint Now);
   void sendPong(LinkId Link, uint64_t Nonce, TimePoint Now);
   void abortAbandonedCalls(TimePoint Now);
   void onTimer(const CallId &Id, TimePoint Now);
@@ -316,26 +350,27 @@
   KeyJudge KeyChecker;
   TransferTurns Transfers;
   RunWatch Runs;
-  // Nobody takes connections at the upstream's address.
+  // Nothing accepts connections at the upstream's address.
   bool UpstreamGone = false;
-  // A probe is under way, or found nothing clear and is to be repeated.
+  // A probe is in progress.
   bool ProbePending = false;
+  // The last probe was inconclusive and is to be repeated.
   bool ProbeAgain = false;
   TimePoint NextProbe;
   ConfigPtr ActiveConfig;
   const Service *ServiceConfig = nullptr;
-  // Of this upstream, by the list; 0 where it does not say.
+  // This upstream's slots according to the instance list; 0 if not listed.
   uint32_t ListedSlots = 0;
-  // The upstream that the list named last, where it named one.
+  // This instance's entry in the last list that contained one.
   std::optional<Instance> ListedInstance;
-  // Calls whose link was lost, and when.
+  // Running idempotent calls whose link was lost, with the time of the loss.
   std::map<CallId, TimePoint> LinkLostAt;
   std::map<CallId, CallRecord> Calls;
-  // When each call is to be looked at next: first at its deadline, then when
-  // it may be forgotten.
+  // When each call is checked next: first at its deadline, then when its
+  // record may be removed.
   std::multimap<TimePoint, CallId> Timers;
   std::map<LinkId, LinkState> Links;
-  // The entry at the other end of each link.
+  // Incarnation of the entry at the other end of each link.
   std::map<LinkId, uint64_t> EntryByLink;
   uint64_t LastNonce = 0;
   Counters Counts;
