--- a/src/calls/Gate.cpp
+++ b/src/calls/Gate.cpp
@@ -4,65 +4,69 @@
 
 #include <algorithm>
 
-// A call goes through Waiting, perhaps Admitted, Running and Finished; one that
-// never ran ends in Refused. Its record stays until its deadline and
-// RememberSlack have passed, and that memory carries two promises.
+// Each call is a state machine: Waiting, possibly Admitted, then Running and
+// Finished; a call that never runs ends in Refused. Its record is kept until
+// its deadline and RetainAfterDeadline have passed. Two guarantees depend on
+// these records.
 //
-// At most once: an entry whose link went silent asks for the same id over a
-// new link. A known id joins the call as it stands and is never started again.
-// An unknown id is entered as Refused before the answer "not run" goes out, so
-// that the first copy, should it still come out of the silent link, finds the
+// A call runs at most once. An entry whose link became unresponsive asks for
+// the same call id over a new link. If the id is known, the entry resumes the
+// call in its present state, and the call is never started again. If the id is
+// unknown, it is recorded as Refused before the answer "not run" is sent. If
+// the first copy of the call still arrives over the old link, it finds this
 // record and does not run.
 //
-// True refusals: a call may be told "not run" only from the states Waiting,
-// Admitted and Refused. Start, the only step that cannot be taken back, is the
-// last thing start() does, after the deadline was checked against a fresh
-// clock.
+// A refusal is true. Only calls in the states Waiting, Admitted and Refused may
+// be reported as "not run". Starting a call at the upstream cannot be undone,
+// so startCall() does it last, after checking the deadline against a fresh
+// clock reading.
 
 namespace hickorylift {
 
-Gate::Gate(Options GivenOpts, Hooks Hooks)
-    : Opts(std::move(GivenOpts)), Hook(std::move(Hooks)),
+Gate::Gate(Options GivenOpts, Hooks GivenHooks)
+    : Opts(std::move(GivenOpts)), Hook(std::move(GivenHooks)),
       AdmissionControl(this->Opts.AdmissionOpts, this->Opts.Seed),
       KeyChecker(this->Opts.IdempotencyOpts, this->Opts.Self),
       Transfers(this->Opts.TransferOpts), Runs(this->Opts.CrashDetectorOpts) {}
 
-void Gate::configure(const ConfigPtr &New, TimePoint Now) {
-  const Service *Named = New->findService(this->Opts.Service);
-  // The old configuration stays alive here until the new one is set.
-  ConfigPtr Old = std::exchange(this->ActiveConfig, New);
-  this->ServiceConfig = Named;
+void Gate::configure(const ConfigPtr &NewConfig, TimePoint Now) {
+  const Service *NewService = NewConfig->findService(this->Opts.Service);
+  // Keeps the old configuration alive until ServiceConfig, which points into
+  // it, has been replaced.
+  ConfigPtr OldConfig = std::exchange(this->ActiveConfig, NewConfig);
+  this->ServiceConfig = NewService;
   this->configureAdmission(Now);
   this->queryHealthIfNeeded(Now);
   this->advanceQueue(Now);
 }
 
-// The list knows this very upstream, the configuration only its service.
+// The instance list may state the slots of this particular upstream, which
+// override those that the configuration gives for its service.
 void Gate::configureAdmission(TimePoint Now) {
   if (!this->ServiceConfig)
     return;
-  Service Here = *this->ServiceConfig;
+  Service Effective = *this->ServiceConfig;
   if (this->ListedSlots)
-    Here.Slots = this->ListedSlots;
-  this->AdmissionControl.configure(Here, Now);
+    Effective.Slots = this->ListedSlots;
+  this->AdmissionControl.configure(Effective, Now);
 }
 
 void Gate::membersChanged(const std::vector<const Instance *> &Upstreams,
                           TimePoint Now) {
   this->KeyChecker.members(Upstreams, Now);
-  for (const Instance *One : Upstreams) {
-    if (One->Name != this->Opts.Self)
+  for (const Instance *Upstream : Upstreams) {
+    if (Upstream->Name != this->Opts.Self)
       continue;
-    if (this->ListedInstance && !One->sameStart(*this->ListedInstance)) {
+    if (this->ListedInstance && !Upstream->sameStart(*this->ListedInstance)) {
       this->AdmissionControl.restarted(Now);
       this->suspectRestart(Now);
     }
-    this->ListedInstance = *One;
-    this->AdmissionControl.coldStart().named(One->Upstream, Now);
-    this->AdmissionControl.coldStart().listed(One->ColdLeft, Now);
-    if (One->Slots == this->ListedSlots)
+    this->ListedInstance = *Upstream;
+    this->AdmissionControl.coldStart().named(Upstream->Upstream, Now);
+    this->AdmissionControl.coldStart().listed(Upstream->ColdLeft, Now);
+    if (Upstream->Slots == this->ListedSlots)
       continue;
-    this->ListedSlots = One->Slots;
+    this->ListedSlots = Upstream->Slots;
     this->configureAdmission(Now);
   }
   this->queryHealthIfNeeded(Now);
@@ -105,15 +109,15 @@
 
 Gate::CallRecord &Gate::addRecord(const CallId &Id, Millis Budget, LinkId Link,
                                   TimePoint Now) {
-  CallRecord &One =
+  CallRecord &Call =
       this->Calls.emplace(Id, CallRecord(this->Opts.BodyWindowBytes))
           .first->second;
-  One.Link = Link;
-  One.Linked = true;
-  One.ArrivedAt = Now;
-  One.Deadline = Now + Budget;
-  this->Timers.emplace(One.Deadline, Id);
-  return One;
+  Call.Link = Link;
+  Call.Linked = true;
+  Call.ArrivedAt = Now;
+  Call.Deadline = Now + Budget;
+  this->Timers.emplace(Call.Deadline, Id);
+  return Call;
 }
 
 void Gate::onOpen(LinkId Link, const wire::OpenT &Open, TimePoint Now) {
@@ -123,165 +127,168 @@
   CallId Id{Open.entry, Open.seq};
   if (this->findCall(Id)) {
     if (this->Opts.Guards.RememberCalls)
-      return; // the late copy of a call that was asked for again
+      return; // a late copy; the entry has resumed this call already
     this->Calls.erase(Id);
   }
-  CallRecord &One = this->addRecord(Id, Millis(Open.budget_ms), Link, Now);
-  One.Request.Method = Open.method;
-  One.Request.Path = Open.path;
-  One.Request.Headers = fromWire(Open.headers);
-  One.Request.Length = Open.length;
-  One.ExpectedUpstream = Open.upstream;
-  One.EntryHoldsBody = Open.holds_body;
-  One.IdempotencyKey = Open.idempotency_key;
-  One.Idempotent = Open.idempotent;
-  One.CrashCount = Open.crashes;
-  this->evaluate(Id, One, Open, Now);
+  CallRecord &Call = this->addRecord(Id, Millis(Open.budget_ms), Link, Now);
+  Call.Request.Method = Open.method;
+  Call.Request.Path = Open.path;
+  Call.Request.Headers = fromWire(Open.headers);
+  Call.Request.Length = Open.length;
+  Call.ExpectedUpstream = Open.upstream;
+  Call.EntryHoldsBody = Open.holds_body;
+  Call.IdempotencyKey = Open.idempotency_key;
+  Call.Idempotent = Open.idempotent;
+  Call.CrashCount = Open.crashes;
+  this->evaluate(Id, Call, Open, Now);
 }
 
-void Gate::evaluate(const CallId &Id, CallRecord &One, const wire::OpenT &Open,
+void Gate::evaluate(const CallId &Id, CallRecord &Call, const wire::OpenT &Open,
                     TimePoint Now) {
-  auto NotRun = [&](const std::string &Reason) {
+  auto RefuseNotRun = [&](const std::string &Reason) {
     this->refuse(
-        Id, One,
+        Id, Call,
         makeRefusal(Outcome::NotRun, Reason, StepAdmission, this->Opts.Self),
         Now);
   };
-  // Bytes that lay in the socket while this process stood still: the budget
-  // that they name ran out without being counted. Run now, the call could
-  // follow one that its caller made instead.
-  if (this->Links[One.Link].PauseBarrier)
-    return NotRun("paused");
+  // The frame was in the socket while this process was paused, and its budget
+  // kept running out uncounted. If the call ran now, it could run after a call
+  // that the caller has made in its place.
+  if (this->Links[Call.Link].PauseBarrier)
+    return RefuseNotRun("paused");
   if (Open.service != this->Opts.Service || !this->ServiceConfig)
-    return NotRun("not-my-service");
+    return RefuseNotRun("not-my-service");
   if (this->UpstreamGone)
-    return NotRun(ReasonUpstreamGone);
+    return RefuseNotRun(ReasonUpstreamGone);
   this->AdmissionControl.coldStart().named(Open.upstream, Now);
   this->queryHealthIfNeeded(Now);
   if (this->Calls.size() > this->Opts.MaxCallRecords)
-    return NotRun("memory-full");
-  Admission::Ask &Wanted = One.SlotRequest;
-  Wanted.Id = Id;
-  Wanted.Deadline = One.Deadline;
-  Wanted.Priority = Open.priority;
-  Wanted.Class = Open.caller_class;
-  Wanted.Target = Now + Millis(Open.target_ms);
-  Wanted.Kind = Open.route;
-  Wanted.Rank = Open.rank;
-  One.LimitName = Open.limit;
-  this->shouldPrefetchBody(One, Now) ? this->prefetchBody(Id, One, Now)
-                                     : this->requestSlot(Id, One, Now);
+    return RefuseNotRun("memory-full");
+  Admission::Ask &SlotRequest = Call.SlotRequest;
+  SlotRequest.Id = Id;
+  SlotRequest.Deadline = Call.Deadline;
+  SlotRequest.Priority = Open.priority;
+  SlotRequest.Class = Open.caller_class;
+  SlotRequest.Target = Now + Millis(Open.target_ms);
+  SlotRequest.Kind = Open.route;
+  SlotRequest.Rank = Open.rank;
+  Call.LimitName = Open.limit;
+  this->shouldPrefetchBody(Call, Now) ? this->prefetchBody(Id, Call, Now)
+                                      : this->requestSlot(Id, Call, Now);
 }
 
-void Gate::requestSlot(const CallId &Id, CallRecord &One, TimePoint Now) {
-  One.Prefetching = false;
-  Admission::Ask Wanted = One.SlotRequest;
-  Wanted.Bound = this->findLimit(One.LimitName);
-  Admission::Answer Room = this->AdmissionControl.ask(Wanted, Now);
-  if (Room.What == Admission::Verdict::Refuse) {
-    Room.Why.Peer = this->Opts.Self;
-    return this->refuse(Id, One, Room.Why, Now);
+void Gate::requestSlot(const CallId &Id, CallRecord &Call, TimePoint Now) {
+  Call.Prefetching = false;
+  Admission::Ask SlotRequest = Call.SlotRequest;
+  SlotRequest.Bound = this->findLimit(Call.LimitName);
+  Admission::Answer Result = this->AdmissionControl.ask(SlotRequest, Now);
+  if (Result.What == Admission::Verdict::Refuse) {
+    Result.Why.Peer = this->Opts.Self;
+    return this->refuse(Id, Call, Result.Why, Now);
   }
-  if (Room.What == Admission::Verdict::Run)
-    this->onSlotGranted(Id, One, Now);
+  if (Result.What == Admission::Verdict::Run)
+    this->onSlotGranted(Id, Call, Now);
 }
 
-bool Gate::checkIdempotencyKey(const CallId &Id, CallRecord &One,
+bool Gate::checkIdempotencyKey(const CallId &Id, CallRecord &Call,
                                TimePoint Now) {
-  if (One.IdempotencyKey.empty() || One.Idempotent)
+  if (Call.IdempotencyKey.empty() || Call.Idempotent)
     return true;
-  uint64_t Fingerprint = combineHash(contentHash(One.Request.Method),
-                                     contentHash(One.Request.Path));
-  KeyJudge::Answer Known = this->KeyChecker.ask(One.IdempotencyKey, Fingerprint,
-                                                this->ServiceConfig->KeyWindow,
-                                                this->Hook.ListAge(Now), Now);
-  if (Known.What == KeyJudge::Verdict::Run)
+  uint64_t RequestHash = combineHash(contentHash(Call.Request.Method),
+                                     contentHash(Call.Request.Path));
+  KeyJudge::Answer KeyResult = this->KeyChecker.ask(
+      Call.IdempotencyKey, RequestHash, this->ServiceConfig->KeyWindow,
+      this->Hook.ListAge(Now), Now);
+  if (KeyResult.What == KeyJudge::Verdict::Run)
     return true;
-  One.IdempotencyKey
-      .clear(); // another call's: its end must not touch the record
+  // Another call owns the record of this key, and the end of this call must not
+  // change it.
+  Call.IdempotencyKey.clear();
   this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
-  if (Known.What == KeyJudge::Verdict::Replay)
-    this->replayAnswer(Id, One, std::move(Known), Now);
+  if (KeyResult.What == KeyJudge::Verdict::Replay)
+    this->replayAnswer(Id, Call, std::move(KeyResult), Now);
   else
-    this->refuse(Id, One, Known.Why, Now);
+    this->refuse(Id, Call, KeyResult.Why, Now);
   return false;
 }
 
-void Gate::replayAnswer(const CallId &Id, CallRecord &One,
-                        KeyJudge::Answer Known, TimePoint Now) {
-  One.Phase = State::Finished;
-  One.HaveAnswerHead = true;
-  One.AnswerHead = std::move(Known.Head);
-  One.AnswerHead.Headers.push_back({"Hickorylift-Replayed", "true"});
-  One.AnswerHead.Length = static_cast<int64_t>(Known.Body.size());
-  One.AnswerBody.append(Known.Body);
-  One.AnswerBody.finish();
-  this->sendHead(Id, One, Now);
-  this->sendAnswer(Id, One);
+void Gate::replayAnswer(const CallId &Id, CallRecord &Call,
+                        KeyJudge::Answer Recorded, TimePoint Now) {
+  Call.Phase = State::Finished;
+  Call.HaveAnswerHead = true;
+  Call.AnswerHead = std::move(Recorded.Head);
+  Call.AnswerHead.Headers.push_back({"Hickorylift-Replayed", "true"});
+  Call.AnswerHead.Length = static_cast<int64_t>(Recorded.Body.size());
+  Call.AnswerBody.append(Recorded.Body);
+  Call.AnswerBody.finish();
+  this->sendHead(Id, Call, Now);
+  this->sendAnswer(Id, Call);
 }
 
-void Gate::startCall(const CallId &Id, CallRecord &One, TimePoint Now) {
-  if (Now >= One.Deadline)
-    return this->refuse(Id, One,
+void Gate::startCall(const CallId &Id, CallRecord &Call, TimePoint Now) {
+  if (Now >= Call.Deadline)
+    return this->refuse(Id, Call,
                         makeRefusal(Outcome::NotRun, "deadline", StepAdmission,
                                     this->Opts.Self),
                         Now);
-  if (!this->checkQuarantine(Id, One, Now) ||
-      !this->checkIdempotencyKey(Id, One, Now))
+  if (!this->checkQuarantine(Id, Call, Now) ||
+      !this->checkIdempotencyKey(Id, Call, Now))
     return;
-  if (std::optional<Admission::Answer> No = this->AdmissionControl.start(Now)) {
-    if (!One.IdempotencyKey.empty())
-      this->KeyChecker.notRun(One.IdempotencyKey);
-    No->Why.Peer = this->Opts.Self;
-    return this->refuse(Id, One, std::move(No->Why), Now);
+  if (std::optional<Admission::Answer> Refused =
+          this->AdmissionControl.start(Now)) {
+    if (!Call.IdempotencyKey.empty())
+      this->KeyChecker.notRun(Call.IdempotencyKey);
+    Refused->Why.Peer = this->Opts.Self;
+    return this->refuse(Id, Call, std::move(Refused->Why), Now);
   }
-  One.Phase = State::Running;
-  One.AwaitingSend = true;
-  One.StartedAt = Now;
-  this->Runs.started(Id, One.RequestFingerprint, One.Suspected);
+  Call.Phase = State::Running;
+  Call.AwaitingSend = true;
+  Call.StartedAt = Now;
+  this->Runs.started(Id, Call.RequestFingerprint, Call.Suspected);
   ++this->Counts.Started;
-  // What the upstream calls in turn has this much left.
-  setHeader(One.Request.Headers, this->Opts.HeaderNames.Budget,
-            std::to_string(toMillis(One.Deadline - Now).count()));
-  if (!this->Opts.HeaderNames.Expect.empty() && !One.ExpectedUpstream.empty())
-    setHeader(One.Request.Headers, this->Opts.HeaderNames.Expect,
-              One.ExpectedUpstream);
-  this->Hook.Start(Id, One.Request, One.Idempotent);
-  if (std::exchange(One.EntryHoldsBody, false) && this->Transfers.ask(Id, Now))
-    this->requestBody(Id, One);
-  std::string Early = std::exchange(One.BufferedBody, "");
-  this->forwardBody(Id, One, Early);
+  // The time left for the calls that the upstream makes for this one.
+  setHeader(Call.Request.Headers, this->Opts.HeaderNames.Budget,
+            std::to_string(toMillis(Call.Deadline - Now).count()));
+  if (!this->Opts.HeaderNames.Expect.empty() && !Call.ExpectedUpstream.empty())
+    setHeader(Call.Request.Headers, this->Opts.HeaderNames.Expect,
+              Call.ExpectedUpstream);
+  this->Hook.Start(Id, Call.Request, Call.Idempotent);
+  if (std::exchange(Call.EntryHoldsBody, false) && this->Transfers.ask(Id, Now))
+    this->requestBody(Id, Call);
+  std::string Buffered = std::exchange(Call.BufferedBody, "");
+  this->forwardBody(Id, Call, Buffered);
 }
 
 void Gate::onCredit(LinkId Link, const wire::CreditT &Credit, TimePoint) {
   CallId Id = this->callIdOn(Link, Credit.seq);
-  CallRecord *One = this->findCall(Id);
-  if (!One || One->Link != Link)
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || Call->Link != Link)
     return;
-  One->AnswerBody.credit(Credit.consumed);
-  this->sendAnswer(Id, *One);
-  if (One->AnswerPaused &&
-      One->AnswerBody.buffered() <= this->Opts.BodyWindowBytes) {
-    One->AnswerPaused = false;
+  Call->AnswerBody.credit(Credit.consumed);
+  this->sendAnswer(Id, *Call);
+  if (Call->AnswerPaused &&
+      Call->AnswerBody.buffered() <= this->Opts.BodyWindowBytes) {
+    Call->AnswerPaused = false;
     this->Hook.PauseAnswer(Id, false);
   }
 }
 
 void Gate::onCancel(LinkId Link, const wire::CancelT &Cancel, TimePoint Now) {
   CallId Id = this->callIdOn(Link, Cancel.seq);
-  CallRecord *One = this->findCall(Id);
-  if (!One)
+  CallRecord *Call = this->findCall(Id);
+  if (!Call)
     return;
-  // Nobody takes the rest of its answer, and a stop need not wait for that.
-  if (One->Phase == State::Finished)
-    One->Linked = false;
-  if (One->isUnstarted())
-    this->refuse(Id, *One,
+  // The entry no longer wants the rest of the answer, so a stopping node need
+  // not wait until it is sent.
+  if (Call->Phase == State::Finished)
+    Call->Linked = false;
+  if (Call->isUnstarted())
+    this->refuse(Id, *Call,
                  makeRefusal(Outcome::NotRun, "cancelled", StepAdmission,
                              this->Opts.Self),
                  Now);
-  else if (One->Phase == State::Running)
-    this->abortCall(Id, *One,
+  else if (Call->Phase == State::Running)
+    this->abortCall(Id, *Call,
                     makeRefusal(Outcome::Unknown, "cancelled", StepUpstream,
                                 this->Opts.Self),
                     Now);
@@ -290,138 +297,141 @@
 
 void Gate::onResume(LinkId Link, const wire::OpenT &Open, TimePoint Now) {
   CallId Id{Open.entry, Open.seq};
-  CallRecord *One = this->findCall(Id);
+  CallRecord *Call = this->findCall(Id);
   if (!this->Opts.Guards.RememberCalls) {
     wire::FailedT Failed;
     Failed.seq = Id.Seq;
     Failed.reason = "never-arrived";
     return this->Hook.Send(Link, callFrame(std::move(Failed)));
   }
-  if (!One) {
-    One = &this->addRecord(Id, Millis(Open.budget_ms), Link, Now);
-    return this->refuse(Id, *One,
+  if (!Call) {
+    Call = &this->addRecord(Id, Millis(Open.budget_ms), Link, Now);
+    return this->refuse(Id, *Call,
                         makeRefusal(Outcome::NotRun, "never-arrived",
                                     StepAdmission, this->Opts.Self),
                         Now);
   }
-  One->Link = Link;
-  One->Linked = true;
+  Call->Link = Link;
+  Call->Linked = true;
   this->LinkLostAt.erase(Id);
-  if (One->Phase == State::Refused)
-    return this->sendFailed(Id, *One, Now);
-  if (!One->AnswerBody.rewind(Open.answer_received)) {
-    return this->abortCall(Id, *One,
+  if (Call->Phase == State::Refused)
+    return this->sendFailed(Id, *Call, Now);
+  if (!Call->AnswerBody.rewind(Open.answer_received)) {
+    return this->abortCall(Id, *Call,
                            makeRefusal(Outcome::Unknown, "answer-lost",
                                        StepAdmission, this->Opts.Self),
                            Now);
   }
-  wire::AdmittedT Joined;
-  Joined.seq = Id.Seq;
-  Joined.request_received = One->RequestBody.received();
-  this->Hook.Send(Link, callFrame(Joined));
-  if (One->HaveAnswerHead && !Open.have_head)
-    this->sendHead(Id, *One, Now);
-  this->sendAnswer(Id, *One);
+  wire::AdmittedT Resumed;
+  Resumed.seq = Id.Seq;
+  Resumed.request_received = Call->RequestBody.received();
+  this->Hook.Send(Link, callFrame(Resumed));
+  if (Call->HaveAnswerHead && !Open.have_head)
+    this->sendHead(Id, *Call, Now);
+  this->sendAnswer(Id, *Call);
 }
 
-void Gate::refuse(const CallId &Id, CallRecord &One, Refusal Why,
+void Gate::refuse(const CallId &Id, CallRecord &Call, Refusal Details,
                   TimePoint Now) {
-  if (One.isUnstarted() || One.Phase == State::Running)
+  if (Call.isUnstarted() || Call.Phase == State::Running)
     this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
-  this->releaseSendReservation(One);
+  this->releaseSendReservation(Call);
   this->Transfers.forget(Id);
   this->Runs.forget(Id);
-  ++this->Counts.RefusedBy[Why.Reason];
-  One.Phase = State::Refused;
-  One.Prefetching = false;
-  One.RefusalDetails = std::move(Why);
-  One.BufferedBody.clear();
-  this->sendFailed(Id, One, Now);
+  ++this->Counts.RefusedBy[Details.Reason];
+  Call.Phase = State::Refused;
+  Call.Prefetching = false;
+  Call.RefusalDetails = std::move(Details);
+  Call.BufferedBody.clear();
+  this->sendFailed(Id, Call, Now);
 }
 
-// The call may have run: whatever it is told from here on is Unknown.
-void Gate::abortCall(const CallId &Id, CallRecord &One, const Refusal &Why,
+// Ends a call that may have run: its outcome is reported as Unknown from now
+// on.
+void Gate::abortCall(const CallId &Id, CallRecord &Call, const Refusal &Details,
                      TimePoint Now) {
-  if (One.Phase == State::Running) {
+  if (Call.Phase == State::Running) {
     this->Hook.Cancel(Id);
     this->Runs.cancelled(Id, Now);
     this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
   }
-  this->releaseSendReservation(One);
+  this->releaseSendReservation(Call);
   this->Transfers.forget(Id);
-  if (!One.IdempotencyKey.empty())
-    this->KeyChecker.lost(One.IdempotencyKey, Now);
+  if (!Call.IdempotencyKey.empty())
+    this->KeyChecker.lost(Call.IdempotencyKey, Now);
   ++this->Counts.Unknown;
-  One.Phase = State::Refused;
-  One.RefusalDetails = Why;
-  this->sendFailed(Id, One, Now);
+  Call.Phase = State::Refused;
+  Call.RefusalDetails = Details;
+  this->sendFailed(Id, Call, Now);
 }
 
 void Gate::advanceQueue(TimePoint Now) {
-  Admission::Next Turn = this->AdmissionControl.next(Now);
-  for (Admission::Dropped &Late : Turn.Drop) {
-    Late.Why.Peer = this->Opts.Self;
-    if (CallRecord *One = this->findCall(Late.Id))
-      this->refuse(Late.Id, *One, std::move(Late.Why), Now);
+  Admission::Next Update = this->AdmissionControl.next(Now);
+  for (Admission::Dropped &Dropped : Update.Drop) {
+    Dropped.Why.Peer = this->Opts.Self;
+    if (CallRecord *Call = this->findCall(Dropped.Id))
+      this->refuse(Dropped.Id, *Call, std::move(Dropped.Why), Now);
   }
-  for (const CallId &Id : Turn.Run)
-    if (CallRecord *One = this->findCall(Id))
-      this->onSlotGranted(Id, *One, Now);
+  for (const CallId &Id : Update.Run)
+    if (CallRecord *Call = this->findCall(Id))
+      this->onSlotGranted(Id, *Call, Now);
   this->grantTransfers(Now);
 }
 
 void Gate::refuseUnstarted(const std::string &Reason, TimePoint Now) {
-  for (auto &[Id, One] : this->Calls)
-    if (One.isUnstarted())
+  for (auto &[Id, Call] : this->Calls)
+    if (Call.isUnstarted())
       this->refuse(
-          Id, One,
+          Id, Call,
           makeRefusal(Outcome::NotRun, Reason, StepAdmission, this->Opts.Self),
           Now);
 }
 
-void Gate::drain(const std::string &By, TimePoint Now) {
+void Gate::drain(const std::string &Reason, TimePoint Now) {
   if (!this->Opts.Guards.DrainClosesGate)
     return;
-  bool Closed = this->draining();
-  this->AdmissionControl.drain(By);
-  if (Closed)
+  bool WasDraining = this->draining();
+  this->AdmissionControl.drain(Reason);
+  if (WasDraining)
     return;
   for (const auto &[Link, State] : this->Links) {
-    wire::DrainingT Said;
-    Said.by = By;
-    this->Hook.Send(Link, callFrame(std::move(Said)));
+    wire::DrainingT Notice;
+    Notice.by = Reason;
+    this->Hook.Send(Link, callFrame(std::move(Notice)));
   }
   this->refuseUnstarted("draining", Now);
   this->advanceQueue(Now);
 }
 
-// Entries leave a gate aside that has said that it closes, send nothing there
-// any more, and so would not find out: with one upstream, its callers would be
-// refused for as long as the link lives.
-void Gate::reopen(const std::string &By, TimePoint Now) {
-  this->AdmissionControl.reopen(By);
+// Entries send no calls to a gate that has announced that it is draining, so
+// none of its answers would show them that it is open again. Without an
+// announcement, the callers of a service with one upstream would be refused for
+// as long as the link lives.
+void Gate::reopen(const std::string &Reason, TimePoint Now) {
+  this->AdmissionControl.reopen(Reason);
   if (!this->draining())
     this->announceState(Now);
 }
 
 bool Gate::idle() const {
   return std::all_of(
-      this->Calls.begin(), this->Calls.end(), [](const auto &One) {
-        const CallRecord &Of = One.second;
-        bool Told =
-            !Of.Linked || Of.Phase == State::Refused || Of.AnswerBody.done();
-        return Of.Phase != State::Running && !Of.isUnstarted() && Told;
+      this->Calls.begin(), this->Calls.end(), [](const auto &Item) {
+        const CallRecord &Call = Item.second;
+        bool AnswerDelivered = !Call.Linked || Call.Phase == State::Refused ||
+                               Call.AnswerBody.done();
+        return Call.Phase != State::Running && !Call.isUnstarted() &&
+               AnswerDelivered;
       });
 }
 
 Gate::UnfinishedCalls Gate::unfinishedCalls() const {
-  UnfinishedCalls Out;
-  for (const auto &[Id, One] : this->Calls) {
-    Out.Waiting += One.Phase == State::Waiting;
-    Out.Admitted += One.Phase == State::Admitted;
-    Out.Running += One.Phase == State::Running;
+  UnfinishedCalls Counts;
+  for (const auto &[Id, Call] : this->Calls) {
+    Counts.Waiting += Call.Phase == State::Waiting;
+    Counts.Admitted += Call.Phase == State::Admitted;
+    Counts.Running += Call.Phase == State::Running;
   }
-  return Out;
+  return Counts;
 }
 
 void Gate::processPaused(TimePoint Now) {
@@ -451,24 +461,24 @@
 }
 
 void Gate::onTimer(const CallId &Id, TimePoint Now) {
-  CallRecord *One = this->findCall(Id);
-  if (!One)
+  CallRecord *Call = this->findCall(Id);
+  if (!Call)
     return;
-  if (One->Prefetching || One->Phase == State::Admitted)
-    this->refuse(Id, *One,
+  if (Call->Prefetching || Call->Phase == State::Admitted)
+    this->refuse(Id, *Call,
                  makeRefusal(Outcome::NotRun, "deadline", StepAdmission,
                              this->Opts.Self),
                  Now);
-  if (One->Phase == State::Running)
-    this->abortCall(Id, *One,
+  if (Call->Phase == State::Running)
+    this->abortCall(Id, *Call,
                     makeRefusal(Outcome::Unknown, "deadline", StepUpstream,
                                 this->Opts.Self),
                     Now);
-  TimePoint ForgetAt = One->Deadline + this->Opts.RetainAfterDeadline;
-  if (Now >= ForgetAt && One->Phase != State::Waiting)
+  TimePoint RemoveAt = Call->Deadline + this->Opts.RetainAfterDeadline;
+  if (Now >= RemoveAt && Call->Phase != State::Waiting)
     this->Calls.erase(Id);
   else
-    this->Timers.emplace(std::max(ForgetAt, Now + Millis(1)), Id);
+    this->Timers.emplace(std::max(RemoveAt, Now + Millis(1)), Id);
 }
 
 } // namespace hickorylift
