--- a/src/calls/GateBodies.cpp
+++ b/src/calls/GateBodies.cpp
@@ -1,134 +1,143 @@
 #include "calls/Gate.h"
 
-// How bodies come to the gate. What all entries send shares the link of this
-// machine, so long bodies come a few at a time (TransferTurns), each when its
-// entry is asked for it: before its call takes a slot where links are slow,
-// after that on fast ones.
+// How request bodies reach the gate. The bodies from all entries share the
+// network link of this machine, so the transfer scheduler lets only a few long
+// ones be sent at a time. The gate asks an entry for a body when its transfer
+// may begin: before the call takes a slot if links are slow, after that if they
+// are fast.
 //
-// The upstream sees nothing of a call whose body can be held here before that
-// is whole. A body on a thin link may come seconds after its call: until then
-// the call can be refused truly, when its caller, its entry or the upstream
-// goes, and none reaches an upstream that has stopped taking calls meanwhile.
+// If a body is short enough to be buffered here, the upstream receives nothing
+// of the call until the body is complete. On a slow link the body may arrive
+// seconds after the call. Until then the call can truthfully be refused as not
+// run if its caller, its entry or the upstream goes away, and no call reaches
+// an upstream that has stopped accepting calls in the meantime.
 
 namespace hickorylift {
 
-// A body that is held here until it is whole costs memory, up to the window.
-bool Gate::canBufferBody(const CallRecord &One) const {
-  return One.Request.Length > 0 && static_cast<uint64_t>(One.Request.Length) <=
-                                       this->Opts.BodyWindowBytes;
+// A buffered body takes up memory, so only bodies that fit into the
+// flow-control window are buffered.
+bool Gate::canBufferBody(const CallRecord &Call) const {
+  return Call.Request.Length > 0 &&
+         static_cast<uint64_t>(Call.Request.Length) <=
+             this->Opts.BodyWindowBytes;
 }
 
-bool Gate::shouldPrefetchBody(const CallRecord &One, TimePoint Now) const {
-  return One.EntryHoldsBody && this->canBufferBody(One) &&
+bool Gate::shouldPrefetchBody(const CallRecord &Call, TimePoint Now) const {
+  return Call.EntryHoldsBody && this->canBufferBody(Call) &&
          this->Transfers.usual(Now) >= this->Opts.PrefetchThreshold;
 }
 
-// A slot that waits for a body is missing to others: on a link of 7 Mbit/s a
-// body of 60 KB takes 70 ms and more, and calls that had half of that to run
-// held their slots for half a second. So the body comes first, if there would
-// be a slot now, and the slot is asked for when it is whole.
+// Fetches the body before the call asks for a slot, if the call would get one
+// now. A slot whose call waits for its body is lost to other calls: on a link
+// of 7 Mbit/s a body of 60 KB takes 70 ms or more, and calls that ran for half
+// of that time held their slots for half a second.
 //
-// Bodies that cannot be whole in time are refused before they fill the link:
-// where more come than it carries, all would be late else.
-void Gate::prefetchBody(const CallId &Id, CallRecord &One, TimePoint Now) {
-  std::optional<Admission::Answer> No =
-      this->AdmissionControl.wouldRefuse(One.SlotRequest, Now);
-  Clock::duration Whole = this->Transfers.expected(Now);
-  if (!No && !this->AdmissionControl.onTarget(One.SlotRequest, Whole, Now)) {
-    No.emplace();
-    No->Why =
+// Calls whose bodies cannot be complete in time are refused before their bodies
+// load the link. Otherwise, with more bodies than the link can carry, all of
+// them would be late.
+void Gate::prefetchBody(const CallId &Id, CallRecord &Call, TimePoint Now) {
+  std::optional<Admission::Answer> Refused =
+      this->AdmissionControl.wouldRefuse(Call.SlotRequest, Now);
+  Clock::duration TransferTime = this->Transfers.expected(Now);
+  if (!Refused &&
+      !this->AdmissionControl.onTarget(Call.SlotRequest, TransferTime, Now)) {
+    Refused.emplace();
+    Refused->Why =
         makeRefusal(Outcome::NotRun, "overload", "transfer", this->Opts.Self);
-    No->Why.RetryAfter = toMillis(Whole);
+    Refused->Why.RetryAfter = toMillis(TransferTime);
   }
-  if (No) {
-    No->Why.Peer = this->Opts.Self;
-    return this->refuse(Id, One, No->Why, Now);
+  if (Refused) {
+    Refused->Why.Peer = this->Opts.Self;
+    return this->refuse(Id, Call, Refused->Why, Now);
   }
-  One.Prefetching = true;
-  One.EntryHoldsBody = false;
+  Call.Prefetching = true;
+  Call.EntryHoldsBody = false;
   if (this->Transfers.ask(Id, Now))
-    this->requestBody(Id, One);
+    this->requestBody(Id, Call);
 }
 
-// The call has its slot. It starts once its body is here.
-void Gate::onSlotGranted(const CallId &Id, CallRecord &One, TimePoint Now) {
-  if (!this->canBufferBody(One) || One.RequestBody.ended())
-    return this->startCall(Id, One, Now);
-  One.Phase = State::Admitted;
-  if (!std::exchange(One.EntryHoldsBody, false))
-    // What came while it waited had no credit, and the rest waits for that.
-    this->sendBodyCredit(Id, One);
+// The call has a slot. It starts when its body is complete, if that is
+// buffered.
+void Gate::onSlotGranted(const CallId &Id, CallRecord &Call, TimePoint Now) {
+  if (!this->canBufferBody(Call) || Call.RequestBody.ended())
+    return this->startCall(Id, Call, Now);
+  Call.Phase = State::Admitted;
+  if (!std::exchange(Call.EntryHoldsBody, false))
+    // No credit was sent for what arrived while the call waited for its slot,
+    // and the entry sends the rest only after that credit.
+    this->sendBodyCredit(Id, Call);
   else if (this->Transfers.ask(Id, Now))
-    this->requestBody(Id, One);
+    this->requestBody(Id, Call);
 }
 
-void Gate::requestBody(const CallId &Id, const CallRecord &One) {
-  if (!One.Linked)
+void Gate::requestBody(const CallId &Id, const CallRecord &Call) {
+  if (!Call.Linked)
     return;
-  wire::AdmittedT Go;
-  Go.seq = Id.Seq;
-  Go.request_received = One.RequestBody.received();
-  this->Hook.Send(One.Link, callFrame(Go));
+  wire::AdmittedT Request;
+  Request.seq = Id.Seq;
+  Request.request_received = Call.RequestBody.received();
+  this->Hook.Send(Call.Link, callFrame(Request));
 }
 
 void Gate::grantTransfers(TimePoint Now) {
   for (const CallId &Id : this->Transfers.next(Now))
-    if (CallRecord *One = this->findCall(Id);
-        One && (One->Phase == State::Running || One->isUnstarted()))
-      this->requestBody(Id, *One);
+    if (CallRecord *Call = this->findCall(Id);
+        Call && (Call->Phase == State::Running || Call->isUnstarted()))
+      this->requestBody(Id, *Call);
 }
 
-void Gate::forwardBody(const CallId &Id, CallRecord &One,
+void Gate::forwardBody(const CallId &Id, CallRecord &Call,
                        std::string_view Bytes) {
   if (!Bytes.empty())
     this->Hook.Body(Id, Bytes);
-  if (One.RequestBody.ended())
+  if (Call.RequestBody.ended())
     this->Hook.BodyEnd(Id);
 }
 
-// Credits for a body that no upstream has taken yet: what is here is here.
-void Gate::sendBodyCredit(const CallId &Id, const CallRecord &One) {
+// Grants credit for a buffered body. All bytes received count as consumed,
+// although none has been sent to the upstream yet.
+void Gate::sendBodyCredit(const CallId &Id, const CallRecord &Call) {
   wire::CreditT Credit;
   Credit.seq = Id.Seq;
-  Credit.consumed = One.RequestBody.received();
-  this->Hook.Send(One.Link, callFrame(Credit));
+  Credit.consumed = Call.RequestBody.received();
+  this->Hook.Send(Call.Link, callFrame(Credit));
 }
 
-void Gate::onBufferedBody(const CallId &Id, CallRecord &One, bool Whole,
+void Gate::onBufferedBody(const CallId &Id, CallRecord &Call, bool Complete,
                           TimePoint Now) {
-  if (!Whole)
-    return this->sendBodyCredit(Id, One);
-  One.Prefetching ? this->requestSlot(Id, One, Now)
-                  : this->startCall(Id, One, Now);
+  if (!Complete)
+    return this->sendBodyCredit(Id, Call);
+  Call.Prefetching ? this->requestSlot(Id, Call, Now)
+                   : this->startCall(Id, Call, Now);
 }
 
 void Gate::onData(LinkId Link, const wire::DataT &Data, TimePoint Now) {
   CallId Id = this->callIdOn(Link, Data.seq);
-  CallRecord *One = this->findCall(Id);
-  if (!One || One->Link != Link || One->RequestBody.ended())
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || Call->Link != Link || Call->RequestBody.ended())
     return;
   std::string_view Bytes(reinterpret_cast<const char *>(Data.bytes.data()),
                          Data.bytes.size());
-  std::optional<std::string_view> New =
-      One->RequestBody.accept(Data.offset, Bytes, Data.end);
-  if (!New) {
-    Refusal Gap = makeRefusal(Outcome::NotRun, "body-gap", StepAdmission,
-                              this->Opts.Self);
-    if (One->isUnstarted())
-      return this->refuse(Id, *One, std::move(Gap), Now);
-    Gap.What = Outcome::Unknown;
-    if (One->Phase == State::Running)
-      this->abortCall(Id, *One, Gap, Now);
+  std::optional<std::string_view> NewBytes =
+      Call->RequestBody.accept(Data.offset, Bytes, Data.end);
+  if (!NewBytes) {
+    Refusal Details = makeRefusal(Outcome::NotRun, "body-gap", StepAdmission,
+                                  this->Opts.Self);
+    if (Call->isUnstarted())
+      return this->refuse(Id, *Call, std::move(Details), Now);
+    Details.What = Outcome::Unknown;
+    if (Call->Phase == State::Running)
+      this->abortCall(Id, *Call, Details, Now);
     return;
   }
-  bool Whole = One->RequestBody.ended();
-  if (One->isUnstarted())
-    One->BufferedBody.append(*New);
-  if (One->Prefetching || One->Phase == State::Admitted)
-    this->onBufferedBody(Id, *One, Whole, Now);
-  else if (One->Phase == State::Running)
-    this->forwardBody(Id, *One, *New);
-  if (!Whole)
+  bool Complete = Call->RequestBody.ended();
+  if (Call->isUnstarted())
+    Call->BufferedBody.append(*NewBytes);
+  if (Call->Prefetching || Call->Phase == State::Admitted)
+    this->onBufferedBody(Id, *Call, Complete, Now);
+  else if (Call->Phase == State::Running)
+    this->forwardBody(Id, *Call, *NewBytes);
+  if (!Complete)
     return;
   this->Transfers.ended(Id, Now);
   this->grantTransfers(Now);
