--- a/src/calls/GateCrashes.cpp
+++ b/src/calls/GateCrashes.cpp
@@ -1,10 +1,11 @@
 #include "calls/Gate.h"
 
-// Requests that crash the upstream. Before a call is started, it is asked what
-// is known against its request; when its connection ends under it, whether the
-// upstream is still there. Until that is known, a moment later, the call counts
-// as running: its entry would else send it on to the next upstream before
-// anybody knows that it may have crashed this one.
+// Handling of requests that crash the upstream. Before a call starts, the gate
+// checks whether its request is quarantined or suspected. When the connection
+// of a running call ends, the gate probes whether the upstream still accepts
+// connections. Until the result is known, a moment later, the call still counts
+// as running. If it were failed at once, its entry could send it on to the next
+// upstream before it is known that it may have crashed this one.
 
 namespace hickorylift {
 
@@ -15,33 +16,34 @@
 
 } // namespace
 
-// Whether the call may start now. If not, it is refused.
-bool Gate::checkQuarantine(const CallId &Id, CallRecord &One, TimePoint Now) {
-  bool Whole = One.Request.Length <= 0 || One.RequestBody.ended();
-  One.RequestFingerprint = fingerprintOf(
-      One.Request,
-      findHeader(One.Request.Headers, this->Opts.HeaderNames.Customer),
-      Whole && One.Request.Length > 0 ? One.BufferedBody : "");
-  Quarantine::Verdict Known =
-      this->Hook.CheckQuarantine(One.RequestFingerprint, Now);
-  One.Suspected =
-      Known.What != Quarantine::Standing::Free || One.CrashCount != 0;
-  bool Held = Known.What == Quarantine::Standing::Held;
-  bool Beside =
-      One.Suspected && this->Runs.hasOtherSuspect(One.RequestFingerprint);
-  if (!Held && !Beside)
+// Returns whether the call may start now. If not, the call has been refused.
+bool Gate::checkQuarantine(const CallId &Id, CallRecord &Call, TimePoint Now) {
+  bool BodyComplete = Call.Request.Length <= 0 || Call.RequestBody.ended();
+  Call.RequestFingerprint = fingerprintOf(
+      Call.Request,
+      findHeader(Call.Request.Headers, this->Opts.HeaderNames.Customer),
+      BodyComplete && Call.Request.Length > 0 ? Call.BufferedBody : "");
+  Quarantine::Verdict Decision =
+      this->Hook.CheckQuarantine(Call.RequestFingerprint, Now);
+  Call.Suspected =
+      Decision.What != Quarantine::Standing::Free || Call.CrashCount != 0;
+  bool Quarantined = Decision.What == Quarantine::Standing::Held;
+  bool OtherSuspectRuns =
+      Call.Suspected && this->Runs.hasOtherSuspect(Call.RequestFingerprint);
+  if (!Quarantined && !OtherSuspectRuns)
     return true;
-  Refusal Why =
-      makeRefusal(Outcome::NotRun, Held ? "quarantined" : "beside-suspect",
-                  StepAdmission, this->Opts.Self);
-  Why.RetryAfter = Held ? Known.ComeBack : this->Opts.SuspectRetryAfter;
-  this->refuse(Id, One, std::move(Why), Now);
+  Refusal Details = makeRefusal(Outcome::NotRun,
+                                Quarantined ? "quarantined" : "beside-suspect",
+                                StepAdmission, this->Opts.Self);
+  Details.RetryAfter =
+      Quarantined ? Decision.ComeBack : this->Opts.SuspectRetryAfter;
+  this->refuse(Id, Call, std::move(Details), Now);
   return false;
 }
 
-void Gate::onConnectionLost(const CallId &Id, CallRecord &One, const Error &Why,
-                            TimePoint Now) {
-  One.ConnectionError = Why;
+void Gate::onConnectionLost(const CallId &Id, CallRecord &Call,
+                            const Error &Cause, TimePoint Now) {
+  Call.ConnectionError = Cause;
   switch (this->Runs.broke(Id, Now)) {
   case RunWatch::Next::Probe:
     return this->startProbe();
@@ -53,39 +55,41 @@
   }
 }
 
-void Gate::upstreamProbed(UpstreamPort Found, TimePoint Now) {
+void Gate::upstreamProbed(UpstreamPort Probed, TimePoint Now) {
   this->ProbePending = false;
-  this->ProbeAgain = Found == UpstreamPort::Unclear;
+  this->ProbeAgain = Probed == UpstreamPort::Unclear;
   if (this->ProbeAgain)
     return;
-  if (Found == UpstreamPort::Open) {
+  if (Probed == UpstreamPort::Open) {
     for (const CallId &Id : this->Runs.settle())
       this->failDisconnected(Id, UpstreamClosed, Now);
     this->markUpstreamBack(Now);
     return this->advanceQueue(Now);
   }
-  RunWatch::Crash Of = this->Runs.crashed(Now);
-  std::vector<Quarantine::Ran> Ran;
-  for (const CallId &Id : Of.Suspects)
-    if (const CallRecord *One = this->findCall(Id))
-      Ran.push_back({One->RequestFingerprint, describeRequest(One->Request)});
-  // A leaving upstream ends by itself, and its port with it; a cold one under
-  // more calls than it bears, whatever they are.
+  RunWatch::Crash Crash = this->Runs.crashed(Now);
+  std::vector<Quarantine::Ran> Requests;
+  for (const CallId &Id : Crash.Suspects)
+    if (const CallRecord *Call = this->findCall(Id))
+      Requests.push_back(
+          {Call->RequestFingerprint, describeRequest(Call->Request)});
+  // No request is to blame if the upstream was leaving, because then it ends by
+  // itself, or if it was cold and received more calls than it can handle, which
+  // ends it whatever the requests are.
   bool Explained =
       this->draining() || this->AdmissionControl.coldStart().isOverrun(Now);
-  if (!Explained && !Ran.empty())
-    this->Hook.UpstreamCrashed(Ran, Now);
-  for (const CallId &Id : Of.Broken)
+  if (!Explained && !Requests.empty())
+    this->Hook.UpstreamCrashed(Requests, Now);
+  for (const CallId &Id : Crash.Broken)
     this->failDisconnected(Id, UpstreamCrashed, Now);
   this->markUpstreamGone(Now);
   this->advanceQueue(Now);
 }
 
-// The list names an upstream for seconds after it is gone. Whoever is sent here
-// meanwhile finds nothing, and so does everybody who has not been here yet:
-// calls used up their offers at gates like this one, and were refused while
-// others had room. So every entry with a link is told at once, and again when
-// the port is open.
+// The instance list still names an upstream for seconds after it is gone. Until
+// then, every entry that has not tried this gate yet would send it calls. Calls
+// used up their offers at such gates and were refused although other gates had
+// capacity. So every entry with a link is notified at once, and again when the
+// upstream accepts connections.
 void Gate::markUpstreamGone(TimePoint Now) {
   if (std::exchange(this->UpstreamGone, true))
     return;
@@ -119,14 +123,15 @@
 
 void Gate::failDisconnected(const CallId &Id, const char *Reason,
                             TimePoint Now) {
-  CallRecord *One = this->findCall(Id);
-  if (!One || One->Phase != State::Running)
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || Call->Phase != State::Running)
     return;
-  Error Why = One->ConnectionError.value_or(Error());
+  Error Cause = Call->ConnectionError.value_or(Error());
   this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
-  One->Phase = State::Finished;
-  this->abortCall(
-      Id, *One, makeRefusal(Outcome::Unknown, Reason, Why.Step, Why.Peer), Now);
+  Call->Phase = State::Finished;
+  this->abortCall(Id, *Call,
+                  makeRefusal(Outcome::Unknown, Reason, Cause.Step, Cause.Peer),
+                  Now);
 }
 
 } // namespace hickorylift
