--- a/src/calls/GateLinks.cpp
+++ b/src/calls/GateLinks.cpp
@@ -1,7 +1,7 @@
 #include "calls/Gate.h"
 
-// The links to entries: what is said on them, and what becomes of their calls
-// when one is lost.
+// The links to entries: the frames sent over them, and what happens to the
+// calls of a link that is lost.
 
 namespace hickorylift {
 
@@ -15,24 +15,25 @@
     this->sendPong(Link, /*Nonce=*/0, Now);
   if (!this->draining())
     return;
-  wire::DrainingT Said;
-  Said.by = this->drainReasons();
-  this->Hook.Send(Link, callFrame(std::move(Said)));
+  wire::DrainingT Notice;
+  Notice.by = this->drainReasons();
+  this->Hook.Send(Link, callFrame(std::move(Notice)));
 }
 
-// The calls of a lost link go on: the entry may find them again over another.
-// Those that only wait are let go, for nobody could be told of their turn.
+// Running calls of a lost link continue, because the entry may resume them over
+// a new link. Calls that have not started are refused, because the entry could
+// not be notified when they get a slot.
 void Gate::linkDown(LinkId Link, TimePoint Now) {
   this->Links.erase(Link);
   this->EntryByLink.erase(Link);
-  for (auto &[Id, One] : this->Calls) {
-    if (!One.Linked || One.Link != Link)
+  for (auto &[Id, Call] : this->Calls) {
+    if (!Call.Linked || Call.Link != Link)
       continue;
-    One.Linked = false;
-    if (One.Phase == State::Running && One.Idempotent)
+    Call.Linked = false;
+    if (Call.Phase == State::Running && Call.Idempotent)
       this->LinkLostAt.emplace(Id, Now);
-    if (One.isUnstarted())
-      this->refuse(Id, One,
+    if (Call.isUnstarted())
+      this->refuse(Id, Call,
                    makeRefusal(Outcome::NotRun, "link-lost", StepAdmission,
                                this->Opts.Self),
                    Now);
@@ -45,56 +46,56 @@
   return {Found == this->EntryByLink.end() ? 0 : Found->second, Seq};
 }
 
-void Gate::sendHead(const CallId &Id, const CallRecord &One, TimePoint Now) {
-  if (!One.Linked)
+void Gate::sendHead(const CallId &Id, const CallRecord &Call, TimePoint Now) {
+  if (!Call.Linked)
     return;
   wire::HeadT Head;
   Head.seq = Id.Seq;
-  Head.status = One.AnswerHead.Status;
-  Head.reason = One.AnswerHead.Reason;
-  Head.headers = toWire(One.AnswerHead.Headers);
-  Head.length = One.AnswerHead.Length;
+  Head.status = Call.AnswerHead.Status;
+  Head.reason = Call.AnswerHead.Reason;
+  Head.headers = toWire(Call.AnswerHead.Headers);
+  Head.length = Call.AnswerHead.Length;
   Head.load = std::make_unique<wire::Load>(this->load(Now));
   Head.ran_us = static_cast<uint32_t>(
-      std::chrono::duration_cast<Micros>(One.AnsweredAt - One.StartedAt)
+      std::chrono::duration_cast<Micros>(Call.AnsweredAt - Call.StartedAt)
           .count());
   Head.waited_us = static_cast<uint32_t>(
-      std::chrono::duration_cast<Micros>(One.StartedAt - One.ArrivedAt)
+      std::chrono::duration_cast<Micros>(Call.StartedAt - Call.ArrivedAt)
           .count());
-  this->Hook.Send(One.Link, callFrame(std::move(Head)));
+  this->Hook.Send(Call.Link, callFrame(std::move(Head)));
 }
 
-void Gate::sendAnswer(const CallId &Id, CallRecord &One) {
-  if (!One.Linked)
+void Gate::sendAnswer(const CallId &Id, CallRecord &Call) {
+  if (!Call.Linked)
     return;
-  while (auto Piece = One.AnswerBody.next(this->Opts.MaxPieceBytes)) {
+  while (auto Piece = Call.AnswerBody.next(this->Opts.MaxPieceBytes)) {
     wire::DataT Data;
     Data.seq = Id.Seq;
     Data.offset = Piece->Offset;
     Data.bytes.assign(Piece->Bytes.begin(), Piece->Bytes.end());
     Data.end = Piece->End;
-    this->Hook.Send(One.Link, callFrame(std::move(Data)));
+    this->Hook.Send(Call.Link, callFrame(std::move(Data)));
   }
 }
 
-void Gate::sendFailed(const CallId &Id, const CallRecord &One, TimePoint Now) {
-  if (!One.Linked)
+void Gate::sendFailed(const CallId &Id, const CallRecord &Call, TimePoint Now) {
+  if (!Call.Linked)
     return;
   wire::FailedT Failed;
   Failed.seq = Id.Seq;
-  Failed.outcome = One.RefusalDetails.What == Outcome::NotRun
+  Failed.outcome = Call.RefusalDetails.What == Outcome::NotRun
                        ? wire::Outcome::NotRun
                        : wire::Outcome::Unknown;
-  Failed.reason = One.RefusalDetails.Reason;
-  Failed.step = One.RefusalDetails.Step;
-  Failed.peer = One.RefusalDetails.Peer;
+  Failed.reason = Call.RefusalDetails.Reason;
+  Failed.step = Call.RefusalDetails.Step;
+  Failed.peer = Call.RefusalDetails.Peer;
   Failed.retry_after_ms =
-      static_cast<uint32_t>(One.RefusalDetails.RetryAfter.count());
-  Failed.status = One.RefusalDetails.Status;
+      static_cast<uint32_t>(Call.RefusalDetails.RetryAfter.count());
+  Failed.status = Call.RefusalDetails.Status;
   Failed.room_in_ms = static_cast<uint32_t>(
       toMillis(this->AdmissionControl.coldStart().wait(Now)).count());
   Failed.load = std::make_unique<wire::Load>(this->load(Now));
-  this->Hook.Send(One.Link, callFrame(std::move(Failed)));
+  this->Hook.Send(Call.Link, callFrame(std::move(Failed)));
 }
 
 void Gate::announceState(TimePoint Now) {
@@ -111,19 +112,20 @@
   this->Hook.Send(Link, callFrame(std::move(Pong)));
 }
 
-// The process at the other end has died, or the way to it is cut: its caller
-// has no connection any more either, and the work would be for nobody.
+// Aborts idempotent calls that no entry has resumed within AbandonedGrace of
+// the loss of their link. The entry's process has died or cannot be reached, so
+// the caller has lost its connection too and nobody would receive the answer.
 void Gate::abortAbandonedCalls(TimePoint Now) {
-  for (auto At = this->LinkLostAt.begin(); At != this->LinkLostAt.end();) {
-    if (Now - At->second < this->Opts.AbandonedGrace) {
-      ++At;
+  for (auto Lost = this->LinkLostAt.begin(); Lost != this->LinkLostAt.end();) {
+    if (Now - Lost->second < this->Opts.AbandonedGrace) {
+      ++Lost;
       continue;
     }
-    CallId Id = At->first;
-    At = this->LinkLostAt.erase(At);
-    CallRecord *One = this->findCall(Id);
-    if (One && One->Phase == State::Running && !One->Linked)
-      this->abortCall(Id, *One,
+    CallId Id = Lost->first;
+    Lost = this->LinkLostAt.erase(Lost);
+    CallRecord *Call = this->findCall(Id);
+    if (Call && Call->Phase == State::Running && !Call->Linked)
+      this->abortCall(Id, *Call,
                       makeRefusal(Outcome::Unknown, "entry-lost", StepUpstream,
                                   this->Opts.Self),
                       Now);
