--- a/src/calls/GateUpstream.cpp
+++ b/src/calls/GateUpstream.cpp
@@ -1,9 +1,9 @@
 #include "calls/Gate.h"
 
-// What the upstream answers, and what that says about the call. An answer goes
-// to the entry as it is, but for statuses that promise that nothing ran: those
-// are passed on as our own promise where the upstream marks them, and are no
-// promise where it does not.
+// Handling of the upstream's answers. An answer is passed on to the entry
+// unchanged, except for statuses that promise that the call did not run. If the
+// upstream marks such an answer, the call is reported as not run; if it does
+// not, the status proves nothing and the outcome is reported as unknown.
 
 namespace hickorylift {
 
@@ -13,82 +13,84 @@
 constexpr unsigned TooManyStatus = 429;
 constexpr unsigned TimeoutStatus = 408;
 constexpr unsigned MisdirectedStatus = 421;
-// Pending answers of one call are read no further than this ahead.
+// Reading an answer pauses when more than this many windows of it are buffered.
 constexpr size_t AnswerHighWater = 2;
 
 } // namespace
 
 void Gate::requestSent(const CallId &Id, TimePoint Now) {
   this->AdmissionControl.coldStart().sent(Now);
-  if (CallRecord *One = this->findCall(Id))
-    this->releaseSendReservation(*One);
+  if (CallRecord *Call = this->findCall(Id))
+    this->releaseSendReservation(*Call);
 }
 
-void Gate::releaseSendReservation(CallRecord &One) {
-  if (std::exchange(One.AwaitingSend, false))
+void Gate::releaseSendReservation(CallRecord &Call) {
+  if (std::exchange(Call.AwaitingSend, false))
     this->AdmissionControl.coldStart().settled();
 }
 
 void Gate::requestConsumed(const CallId &Id, uint64_t Total, TimePoint) {
-  CallRecord *One = this->findCall(Id);
-  if (!One || !One->Linked)
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || !Call->Linked)
     return;
   wire::CreditT Credit;
   Credit.seq = Id.Seq;
   Credit.consumed = Total;
-  this->Hook.Send(One->Link, callFrame(Credit));
+  this->Hook.Send(Call->Link, callFrame(Credit));
 }
 
 void Gate::upstreamHead(const CallId &Id, const ResponseHead &Head,
                         TimePoint Now) {
-  CallRecord *One = this->findCall(Id);
-  if (!One || One->Phase != State::Running)
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || Call->Phase != State::Running)
     return;
-  if (this->handleUpstreamRefusal(Id, *One, Head, Now))
+  if (this->handleUpstreamRefusal(Id, *Call, Head, Now))
     return this->advanceQueue(Now);
-  One->HaveAnswerHead = true;
-  One->AnsweredAt = Now;
-  One->AnswerHead = Head;
-  this->sendHead(Id, *One, Now);
+  Call->HaveAnswerHead = true;
+  Call->AnsweredAt = Now;
+  Call->AnswerHead = Head;
+  this->sendHead(Id, *Call, Now);
   if (Head.Length == 0)
     this->upstreamEnd(Id, Now);
 }
 
-// An answer whose status promises that the call did not run is passed on as
-// that promise, so that the entry may try elsewhere; but only if the upstream
-// marks it. Without the mark, the same status says nothing, and to hand it on
-// would promise what nobody knows.
-bool Gate::handleUpstreamRefusal(const CallId &Id, CallRecord &One,
+// Handles an answer whose status promises that the call did not run, and
+// returns whether it was one. If the upstream marks the answer, the call is
+// refused as not run, so that the entry may try another gate. Without the mark
+// the status proves nothing, and passing it on would make a promise that may be
+// false.
+bool Gate::handleUpstreamRefusal(const CallId &Id, CallRecord &Call,
                                  const ResponseHead &Head, TimePoint Now) {
   const std::string &Mark = this->Opts.HeaderNames.NotRun;
-  // Where the list tells the slots, no more than those are ever in use, and a
-  // shed is a fault of the upstream and not a want of room. Fewer calls would
-  // be shed as often, and most slots would stand idle.
+  // If the instance list states the slots, no more than those are ever in use,
+  // so a shed call is a fault of the upstream and not a lack of capacity. Fewer
+  // concurrent calls would be shed as often, and most slots would stay unused.
   if (Head.Status == ShedStatus && !this->ListedSlots)
     this->AdmissionControl.shed(Now);
-  bool Promises = Head.Status == ShedStatus || Head.Status == TooManyStatus ||
-                  Head.Status == TimeoutStatus ||
-                  Head.Status == MisdirectedStatus;
-  if (Mark.empty() || !Promises)
+  bool PromisesNotRun =
+      Head.Status == ShedStatus || Head.Status == TooManyStatus ||
+      Head.Status == TimeoutStatus || Head.Status == MisdirectedStatus;
+  if (Mark.empty() || !PromisesNotRun)
     return false;
-  // Whoever answers 421 is not the one that was meant, and ran nothing.
+  // An upstream that answers 421 is not the expected one and did not run the
+  // call.
   bool Marked = Head.Status == MisdirectedStatus ||
                 !findHeader(Head.Headers, Mark).empty();
   bool Misdirected = Head.Status == MisdirectedStatus;
   if (Misdirected)
     this->suspectRestart(Now);
   if (Marked) {
-    Refusal Why = makeRefusal(
+    Refusal Details = makeRefusal(
         Outcome::NotRun, Misdirected ? "upstream-replaced" : "upstream-shed",
         StepUpstream, this->Opts.Self);
-    Why.RetryAfter = this->Opts.ShedRetryAfter;
-    this->refuse(Id, One, std::move(Why), Now);
+    Details.RetryAfter = this->Opts.ShedRetryAfter;
+    this->refuse(Id, Call, std::move(Details), Now);
     return true;
   }
   this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
   this->Runs.forget(Id);
-  One.Phase = State::Finished;
-  this->abortCall(Id, One,
+  Call.Phase = State::Finished;
+  this->abortCall(Id, Call,
                   makeRefusal(Outcome::Unknown, "upstream-unmarked-refusal",
                               StepUpstream, this->Opts.Self),
                   Now);
@@ -97,50 +99,51 @@
 
 void Gate::upstreamData(const CallId &Id, std::string_view Bytes,
                         TimePoint Now) {
-  CallRecord *One = this->findCall(Id);
-  if (!One || One->Phase != State::Running)
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || Call->Phase != State::Running)
     return;
-  if (!One->IdempotencyKey.empty() && One->Recordable) {
-    One->Recordable = One->RecordedAnswer.size() + Bytes.size() <=
-                      this->Opts.IdempotencyOpts.MaxAnswerBytes;
-    One->RecordedAnswer.append(Bytes);
+  if (!Call->IdempotencyKey.empty() && Call->Recordable) {
+    Call->Recordable = Call->RecordedAnswer.size() + Bytes.size() <=
+                       this->Opts.IdempotencyOpts.MaxAnswerBytes;
+    Call->RecordedAnswer.append(Bytes);
   }
-  One->AnswerBody.append(Bytes);
-  One->AnswerBytes += Bytes.size();
-  // An answer of known length is over with its last byte. The event that says
-  // so comes a turn of the loop later, and the caller need not wait for it.
-  if (One->AnswerHead.Length > 0 &&
-      One->AnswerBytes == static_cast<uint64_t>(One->AnswerHead.Length))
+  Call->AnswerBody.append(Bytes);
+  Call->AnswerBytes += Bytes.size();
+  // An answer of known length ends with its last byte. The end event follows
+  // one event loop iteration later, and the caller need not wait for it.
+  if (Call->AnswerHead.Length > 0 &&
+      Call->AnswerBytes == static_cast<uint64_t>(Call->AnswerHead.Length))
     return this->upstreamEnd(Id, Now);
-  this->sendAnswer(Id, *One);
-  if (!One->AnswerPaused && One->AnswerBody.buffered() >
-                                AnswerHighWater * this->Opts.BodyWindowBytes) {
-    One->AnswerPaused = true;
+  this->sendAnswer(Id, *Call);
+  if (!Call->AnswerPaused && Call->AnswerBody.buffered() >
+                                 AnswerHighWater * this->Opts.BodyWindowBytes) {
+    Call->AnswerPaused = true;
     this->Hook.PauseAnswer(Id, true);
   }
 }
 
 void Gate::upstreamEnd(const CallId &Id, TimePoint Now) {
-  CallRecord *One = this->findCall(Id);
-  if (!One || One->Phase != State::Running)
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || Call->Phase != State::Running)
     return;
-  One->Phase = State::Finished;
+  Call->Phase = State::Finished;
   this->Transfers.forget(Id);
   this->Runs.answered(Id, Now);
-  this->Hook.RequestAnswered(One->RequestFingerprint, Now);
+  this->Hook.RequestAnswered(Call->RequestFingerprint, Now);
   ++this->Counts.Answered;
-  this->Hook.CallFinished(One->StartedAt - One->ArrivedAt,
-                          Now - One->StartedAt);
-  One->AnswerBody.finish();
-  if (!One->IdempotencyKey.empty()) {
-    std::string Body = std::exchange(One->RecordedAnswer, "");
-    // Too long to replay: judged by its size there.
-    this->KeyChecker.answered(One->IdempotencyKey, One->AnswerHead,
+  this->Hook.CallFinished(Call->StartedAt - Call->ArrivedAt,
+                          Now - Call->StartedAt);
+  Call->AnswerBody.finish();
+  if (!Call->IdempotencyKey.empty()) {
+    std::string Body = std::exchange(Call->RecordedAnswer, "");
+    // The key checker finds by the size whether the answer is too long to be
+    // replayed.
+    this->KeyChecker.answered(Call->IdempotencyKey, Call->AnswerHead,
                               std::move(Body), Now);
   }
-  this->AdmissionControl.finished(Id, One->AnswerHead.Status != ShedStatus,
+  this->AdmissionControl.finished(Id, Call->AnswerHead.Status != ShedStatus,
                                   Now);
-  this->sendAnswer(Id, *One);
+  this->sendAnswer(Id, *Call);
   this->advanceQueue(Now);
 }
 
@@ -160,29 +163,31 @@
   this->advanceQueue(Now);
 }
 
-void Gate::upstreamFailed(const CallId &Id, bool Sent, const Error &Why,
+void Gate::upstreamFailed(const CallId &Id, bool Sent, const Error &Cause,
                           TimePoint Now) {
-  CallRecord *One = this->findCall(Id);
-  if (!One || One->Phase != State::Running)
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || Call->Phase != State::Running)
     return;
-  std::string Reason = "upstream-" + Why.Code.message();
+  std::string Reason = "upstream-" + Cause.Code.message();
   if (!Sent) {
-    if (!One->IdempotencyKey.empty())
-      this->KeyChecker.notRun(One->IdempotencyKey);
-    this->refuse(Id, *One,
-                 makeRefusal(Outcome::NotRun, Reason, Why.Step, Why.Peer), Now);
-    // Its end may have been seen by nobody: nothing ran there.
-    if (Why.Code == Errc::Unreachable)
+    if (!Call->IdempotencyKey.empty())
+      this->KeyChecker.notRun(Call->IdempotencyKey);
+    this->refuse(Id, *Call,
+                 makeRefusal(Outcome::NotRun, Reason, Cause.Step, Cause.Peer),
+                 Now);
+    // The upstream may have ended while no call was running, in which case no
+    // lost connection showed it.
+    if (Cause.Code == Errc::Unreachable)
       this->startProbe();
-  } else if (Why.Code == Errc::Closed && this->Hook.Probe) {
-    return this->onConnectionLost(Id, *One, Why, Now);
+  } else if (Cause.Code == Errc::Closed && this->Hook.Probe) {
+    return this->onConnectionLost(Id, *Call, Cause, Now);
   } else {
     this->Runs.forget(Id);
     this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
-    One->Phase = State::Finished;
-    this->abortCall(Id, *One,
-                    makeRefusal(Outcome::Unknown, Reason, Why.Step, Why.Peer),
-                    Now);
+    Call->Phase = State::Finished;
+    this->abortCall(
+        Id, *Call,
+        makeRefusal(Outcome::Unknown, Reason, Cause.Step, Cause.Peer), Now);
   }
   this->advanceQueue(Now);
 }
