--- a/src/calls/GateFixture.h
+++ b/src/calls/GateFixture.h
@@ -7,22 +7,24 @@
 
 #include <boost/test/unit_test.hpp>
 
-// For tests only: a gate of which the test plays the upstream and one entry.
+// For tests only: a gate whose upstream and one entry are simulated by the
+// test.
 //
 //   BOOST_FIXTURE_TEST_CASE(OneCall, GateFixture) {
-//     this->open(this->openOf(1));
-//     BOOST_TEST(this->Started.size() == 1u);
+//     this->sendOpen(this->makeOpen(1));
+//     BOOST_TEST(this->StartedCalls.size() == 1u);
 //   }
 
 namespace hickorylift {
 
-/// Of one upstream with ten slots.
+/// Configuration of one service whose upstreams have ten slots.
 inline const std::string GateRecords = R"([
   {"kind":"service","name":"a","schema":1,"slots":10},
   {"kind":"route","name":"r","schema":3,"match":{"prefix":"/"},
    "service":"a","idempotent":false}])";
 
-/// A gate whose upstream and one entry the test plays.
+/// A gate whose upstream and one entry (incarnation 7) are simulated by the
+/// test.
 struct GateFixture {
   static constexpr Gate::LinkId Link = 1;
 
@@ -30,21 +32,21 @@
   std::vector<wire::CallFrameT> SentFrames;
   std::vector<std::pair<CallId, RequestHead>> StartedCalls;
   std::vector<CallId> CancelledCalls;
-  /// What stands against every request.
+  /// The quarantine decision returned for every request.
   Quarantine::Verdict QuarantineDecision;
-  /// The requests of each crash that the gate told of.
+  /// The running requests of each crash that the gate reported.
   std::vector<std::vector<Quarantine::Ran>> ReportedCrashes;
   std::vector<Fingerprint> AnsweredRequests;
   size_t ProbeCount = 0;
-  /// Paths at which the upstream was asked how it is.
+  /// Paths at which the gate queried the upstream's health.
   std::vector<std::string> HealthQueries;
-  /// Whether there is a connection for each request at once.
+  /// Whether each started request is written to the upstream at once.
   bool SendsAtOnce = true;
   TimePoint Now = TimePoint(std::chrono::hours(1));
 
-  /// A call with a long body that its entry sends once it is asked to, or as
-  /// it comes.
-  void openUpload(uint64_t Seq, bool Held = true) {
+  /// Opens a call with a long body. The entry sends the body when it is
+  /// requested if HoldsBody, otherwise without waiting.
+  void openUpload(uint64_t Seq, bool HoldsBody = true) {
     wire::OpenT Open;
     Open.seq = Seq;
     Open.entry = 7;
@@ -54,7 +56,7 @@
     Open.budget_ms = 2000;
     Open.target_ms = 500;
     Open.length = 20000;
-    Open.holds_body = Held;
+    Open.holds_body = HoldsBody;
     this->TestGate->handleFrame(Link, callFrame(std::move(Open)), this->Now);
   }
   void sendBody(uint64_t Seq, uint64_t Offset, size_t Size, bool End) {
@@ -65,7 +67,7 @@
     Data.end = End;
     this->TestGate->handleFrame(Link, callFrame(std::move(Data)), this->Now);
   }
-  /// Bodies have taken 100 ms each.
+  /// Lets the gate measure that bodies take 100 ms each.
   void makeLinkSlow() {
     for (uint64_t Seq = 90; Seq < 95; ++Seq) {
       this->openUpload(Seq);
@@ -79,13 +81,13 @@
     this->StartedCalls.clear();
     this->SentFrames.clear();
   }
-  /// The calls whose bodies were asked for, in that order.
+  /// The calls whose bodies the gate has requested, in this order.
   std::vector<uint64_t> requestedBodies() const {
-    std::vector<uint64_t> Out;
+    std::vector<uint64_t> Requested;
     for (const wire::CallFrameT &Frame : this->SentFrames)
-      if (const auto *Go = Frame.payload.AsAdmitted())
-        Out.push_back(Go->seq);
-    return Out;
+      if (const auto *Admitted = Frame.payload.AsAdmitted())
+        Requested.push_back(Admitted->seq);
+    return Requested;
   }
 
   GateFixture() {
@@ -113,8 +115,8 @@
     Hooks.CheckQuarantine = [this](const Fingerprint &, TimePoint) {
       return this->QuarantineDecision;
     };
-    Hooks.RequestAnswered = [this](const Fingerprint &Of, TimePoint) {
-      this->AnsweredRequests.push_back(Of);
+    Hooks.RequestAnswered = [this](const Fingerprint &Answered, TimePoint) {
+      this->AnsweredRequests.push_back(Answered);
     };
     Hooks.UpstreamCrashed = [this](const std::vector<Quarantine::Ran> &Running,
                                    TimePoint) {
@@ -143,11 +145,11 @@
   }
 
   void listSlots(uint32_t Slots) {
-    Instance Own;
-    Own.Name = "me";
-    Own.Service = "a";
-    Own.Slots = Slots;
-    this->TestGate->membersChanged({&Own}, this->Now);
+    Instance Self;
+    Self.Name = "me";
+    Self.Service = "a";
+    Self.Slots = Slots;
+    this->TestGate->membersChanged({&Self}, this->Now);
   }
 
   wire::OpenT makeOpen(uint64_t Seq) const {
@@ -167,18 +169,19 @@
     this->TestGate->handleFrame(Link, callFrame(std::move(Open)), this->Now);
   }
 
-  /// The last frame about a call that failed; null if there is none.
+  /// The last Failed frame that the gate sent; null if there is none.
   const wire::FailedT *lastFailed() const {
     const wire::FailedT *Last = nullptr;
-    for (const wire::CallFrameT &One : this->SentFrames)
-      if (const auto *Failed = One.payload.AsFailed())
+    for (const wire::CallFrameT &Frame : this->SentFrames)
+      if (const auto *Failed = Frame.payload.AsFailed())
         Last = Failed;
     return Last;
   }
+  /// Number of Admitted frames that the gate sent.
   size_t admittedCount() const {
     size_t Count = 0;
-    for (const wire::CallFrameT &One : this->SentFrames)
-      Count += One.payload.AsAdmitted() != nullptr;
+    for (const wire::CallFrameT &Frame : this->SentFrames)
+      Count += Frame.payload.AsAdmitted() != nullptr;
     return Count;
   }
 };
