--- a/src/calls/GateCallsTest.cpp
+++ b/src/calls/GateCallsTest.cpp
@@ -15,12 +15,12 @@
 struct AnswerRow {
   unsigned Status;
   bool Marked;
-  // Empty where the answer is passed on.
-  const char *Reason;
-  wire::Outcome What;
+  // Empty if the answer is passed on to the entry.
+  const char *ExpectedReason;
+  wire::Outcome ExpectedOutcome;
 };
-std::ostream &operator<<(std::ostream &To, const AnswerRow &Of) {
-  return To << Of.Status << (Of.Marked ? " marked" : "");
+std::ostream &operator<<(std::ostream &Stream, const AnswerRow &Row) {
+  return Stream << Row.Status << (Row.Marked ? " marked" : "");
 }
 
 const AnswerRow Answers[] = {
@@ -40,35 +40,39 @@
 
 BOOST_AUTO_TEST_SUITE(GateCalls)
 
-// The caller takes 503, 429, 408 and 421 for a promise that nothing ran. Only
-// the upstream's mark, or another process at its address, makes that true.
-BOOST_DATA_TEST_CASE(OnlyMarkedRefusalsArePromises, data::make(Answers), Row) {
-  Fixture Of;
-  Of.sendOpen(Of.makeOpen(1));
-  BOOST_REQUIRE(Of.StartedCalls.size() == 1u);
+// Guards against false "not run" reports: callers take 503, 429, 408 and 421 to
+// mean that nothing ran, which is certain only if the upstream marks the answer
+// or, for 421, another process answers at its address.
+BOOST_DATA_TEST_CASE(UnmarkedRefusalsAreReportedAsUnknown, data::make(Answers),
+                     Row) {
+  Fixture Test;
+  Test.sendOpen(Test.makeOpen(1));
+  BOOST_REQUIRE(Test.StartedCalls.size() == 1u);
   ResponseHead Head;
   Head.Status = Row.Status;
   Head.Length = 0;
   if (Row.Marked)
     Head.Headers = {{"Not-Run", "1"}};
-  Of.TestGate->upstreamHead({7, 1}, Head, Of.Now);
-  const wire::FailedT *Failed = Of.lastFailed();
-  BOOST_TEST((Failed ? Failed->reason : "") == Row.Reason);
+  Test.TestGate->upstreamHead({7, 1}, Head, Test.Now);
+  const wire::FailedT *Failed = Test.lastFailed();
+  BOOST_TEST((Failed ? Failed->reason : "") == Row.ExpectedReason);
   if (Failed)
-    BOOST_TEST((Failed->outcome == Row.What));
+    BOOST_TEST((Failed->outcome == Row.ExpectedOutcome));
 }
 
-BOOST_FIXTURE_TEST_CASE(CallsNameTheUpstreamThatIsMeant, Fixture) {
+// The upstream receives the name of the expected upstream process, so that
+// another process can reject the call, and the call's remaining time.
+BOOST_FIXTURE_TEST_CASE(RequestsCarryExpectedUpstreamAndBudget, Fixture) {
   this->sendOpen(this->makeOpen(1));
   const HeaderList &Headers = this->StartedCalls.at(0).second.Headers;
   BOOST_TEST(findHeader(Headers, "Expect-Upstream") == "up-1");
   BOOST_TEST(findHeader(Headers, "Budget") == "1000");
 }
 
-// An upstream fails half of its calls by shedding them, with slots free.
-// Callers of the other half must not find its gate closed: nine calls at once
-// run, as many as the list says, however many were shed before.
-BOOST_FIXTURE_TEST_CASE(ShedsBelowTheListedSlotsKeepTheGateOpen, Fixture) {
+// Guards against a gate that admits fewer calls after an upstream with free
+// slots sheds some. Nine calls still run at once, as many as the instance list
+// states, however many were shed before.
+BOOST_FIXTURE_TEST_CASE(ShedCallsDoNotReduceListedSlots, Fixture) {
   this->listSlots(9);
   ResponseHead Shed;
   Shed.Status = 503;
@@ -84,9 +88,10 @@
   BOOST_TEST(this->StartedCalls.size() - Before == 9u);
 }
 
-// The entry's process is gone, and with it the caller's connection. What may be
-// repeated is not worked on for nobody; an approval that runs is left to run.
-BOOST_FIXTURE_TEST_CASE(SafeCallsOfALostEntryEnd, Fixture) {
+// When an entry's process is gone, so is the caller's connection. Idempotent
+// calls are aborted because nobody receives their answers; a call that must not
+// be repeated continues to run.
+BOOST_FIXTURE_TEST_CASE(IdempotentCallsOfLostEntryAreAborted, Fixture) {
   wire::OpenT Safe = this->makeOpen(1);
   Safe.idempotent = true;
   this->sendOpen(std::move(Safe));
@@ -101,9 +106,10 @@
   BOOST_TEST(this->CancelledCalls.at(0).Seq == 1u);
 }
 
-// All slots are taken. The body of an upload comes meanwhile, a slot is asked
-// for when it is whole, and the upstream has all of it at once.
-BOOST_FIXTURE_TEST_CASE(BodiesComeBeforeTheyTakeASlot, Fixture) {
+// Guards against slots that are held while a body arrives over a slow link. The
+// body is fetched while all slots are in use; the call asks for a slot when it
+// is complete.
+BOOST_FIXTURE_TEST_CASE(SlowLinkBodiesArePrefetchedBeforeTheSlot, Fixture) {
   this->listSlots(1);
   this->makeLinkSlow();
   this->sendOpen(this->makeOpen(1));
@@ -121,9 +127,9 @@
   BOOST_TEST(this->StartedCalls.size() == 2u);
 }
 
-// A body does not come in time. Its caller is told that nothing was run, which
-// is true, and the call is not started by the rest of it.
-BOOST_FIXTURE_TEST_CASE(BodiesThatNeverComeAreRefused, Fixture) {
+// A prefetched body does not arrive before the deadline. The call is refused as
+// not run, and the late body must not start it.
+BOOST_FIXTURE_TEST_CASE(CallsWithMissingBodiesAreRefusedAtDeadline, Fixture) {
   this->listSlots(1);
   this->makeLinkSlow();
   this->openUpload(2);
@@ -135,10 +141,10 @@
   BOOST_TEST(this->StartedCalls.empty());
 }
 
-// More uploads come than the link carries. Those that could not be whole in
-// time are told so at once and go to another gate, and fill this link no
-// further.
-BOOST_FIXTURE_TEST_CASE(BodiesThatWouldBeLateAreNotAskedFor, Fixture) {
+// Guards against a link overloaded with bodies that arrive too late. Uploads
+// whose bodies could not be complete in time are refused at once, so that they
+// go to another gate.
+BOOST_FIXTURE_TEST_CASE(BodiesThatWouldBeLateAreNotRequested, Fixture) {
   this->listSlots(9);
   this->makeLinkSlow();
   size_t Refused = 0;
@@ -154,16 +160,17 @@
   BOOST_TEST(this->requestedBodies().size() == 2u);
 }
 
-// On a fast link a body comes once its call has a slot: it would come for
-// nothing if the slots were taken meanwhile.
-BOOST_FIXTURE_TEST_CASE(OnFastLinksBodiesComeAfterTheSlot, Fixture) {
+// On a fast link a body is requested only when its call has a slot. Otherwise
+// it would be sent for nothing if all slots were in use when it arrived.
+BOOST_FIXTURE_TEST_CASE(FastLinkBodiesAreRequestedAfterTheSlot, Fixture) {
   this->listSlots(1);
   this->sendOpen(this->makeOpen(1));
   this->openUpload(2);
   BOOST_TEST(this->requestedBodies().empty());
 }
 
-// A body that is too long to be held here goes straight to the upstream.
+// A body that exceeds the flow-control window is not buffered at the gate. It
+// is requested when the call starts, and goes straight to the upstream.
 BOOST_FIXTURE_TEST_CASE(UnfinishedCallsBodyIsAskedForWhenTheCallRuns, Fixture) {
   this->listSlots(1);
   this->sendOpen(this->makeOpen(1));
@@ -181,22 +188,22 @@
   BOOST_TEST(this->admittedCount() == 1u);
 }
 
-// Five uploads are admitted together, on a link that carries one body at a
-// time well. Those whose turn it is not yet are asked for theirs as the others
-// end: whole, given up by the caller, or too slow to keep their turn.
-BOOST_FIXTURE_TEST_CASE(LongBodiesComeAFewAtATime, Fixture) {
+// Guards against many long bodies that share the link at once. Of five uploads
+// admitted together, two transfer their bodies; each further body is requested
+// when a transfer ends: complete, cancelled by the caller, or timed out.
+BOOST_FIXTURE_TEST_CASE(ConcurrentBodyTransfersAreLimited, Fixture) {
   for (uint64_t Seq = 1; Seq <= 5; ++Seq)
     this->openUpload(Seq);
   BOOST_TEST(this->requestedBodies() == (std::vector<uint64_t>{1, 2}));
-  wire::DataT Whole;
-  Whole.seq = 1;
-  Whole.bytes.assign(20000, 'x');
-  Whole.end = true;
-  this->TestGate->handleFrame(Link, callFrame(std::move(Whole)), this->Now);
+  wire::DataT LastData;
+  LastData.seq = 1;
+  LastData.bytes.assign(20000, 'x');
+  LastData.end = true;
+  this->TestGate->handleFrame(Link, callFrame(std::move(LastData)), this->Now);
   BOOST_TEST(this->requestedBodies() == (std::vector<uint64_t>{1, 2, 3}));
-  wire::CancelT Gone;
-  Gone.seq = 2;
-  this->TestGate->handleFrame(Link, callFrame(std::move(Gone)), this->Now);
+  wire::CancelT Cancel;
+  Cancel.seq = 2;
+  this->TestGate->handleFrame(Link, callFrame(std::move(Cancel)), this->Now);
   BOOST_TEST(this->requestedBodies() == (std::vector<uint64_t>{1, 2, 3, 4}));
   this->TestGate->tick(this->Now + Millis(1100));
   BOOST_TEST(this->requestedBodies() == (std::vector<uint64_t>{1, 2, 3, 4, 5}));
@@ -204,123 +211,126 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// An upstream leaves: its gate closes, and what the upstream has begun goes on.
-// What it has seen nothing of must not reach it any more, however long ago the
-// call was taken: a body of 60 KB on a thin link comes seconds after its call,
-// and the upstream may end in the midst of the run. Nothing of it has run, so
-// the caller is told so at once, while there is time for another upstream.
-BOOST_AUTO_TEST_SUITE(GateClosing)
+// Draining a gate while its upstream leaves. Calls that the upstream has begun
+// continue. Calls of which it has received nothing must not reach it, however
+// long ago they were accepted: a body of 60 KB on a slow link arrives seconds
+// after its call, and the upstream may end while it runs. These calls are
+// refused at once as not run, while there is time to try another upstream.
+BOOST_AUTO_TEST_SUITE(GateDraining)
 
 namespace {
 
-enum class Takes { Slot, SlotUnasked, Queue, BodyFirst };
+enum class UploadState { HasSlot, HasSlotUnasked, Queued, Prefetching };
 
-struct HeldRow {
+struct UploadRow {
   const char *Name;
-  Takes How;
-  // Bytes of its 20,000 that have come when the gate closes.
-  size_t Came;
+  UploadState Upload;
+  // How many of its 20,000 bytes have arrived when the gate starts to drain.
+  size_t BytesArrived;
 };
-std::ostream &operator<<(std::ostream &To, const HeldRow &Of) {
-  return To << Of.Name << ", " << Of.Came << " bytes there";
+std::ostream &operator<<(std::ostream &Stream, const UploadRow &Row) {
+  return Stream << Row.Name << ", " << Row.BytesArrived << " bytes arrived";
 }
 
-const HeldRow HeldRows[] = {
-    {"has a slot and waits for its body", Takes::Slot, 0},
-    {"has a slot and a part of its body", Takes::Slot, 10000},
-    {"has a slot, and its caller sends slowly", Takes::SlotUnasked, 10000},
-    {"waits for a slot", Takes::Queue, 0},
-    {"is to come before it takes a slot", Takes::BodyFirst, 0},
-    {"comes before it takes a slot", Takes::BodyFirst, 10000},
+const UploadRow UploadRows[] = {
+    {"has a slot and waits for its body", UploadState::HasSlot, 0},
+    {"has a slot and part of its body", UploadState::HasSlot, 10000},
+    {"has a slot, and its body is sent slowly without a request",
+     UploadState::HasSlotUnasked, 10000},
+    {"waits for a slot", UploadState::Queued, 0},
+    {"body requested before the call has a slot", UploadState::Prefetching, 0},
+    {"body arriving before the call has a slot", UploadState::Prefetching,
+     10000},
 };
 
-enum class Ends { Close, LinkLost, CallerGone, Deadline };
+enum class EndCause { Drain, LinkLost, CallerCancels, Deadline };
 
 struct EndRow {
-  Ends How;
-  const char *Reason;
+  EndCause Cause;
+  const char *ExpectedReason;
 };
-std::ostream &operator<<(std::ostream &To, const EndRow &Of) {
-  return To << Of.Reason;
+std::ostream &operator<<(std::ostream &Stream, const EndRow &Row) {
+  return Stream << Row.ExpectedReason;
 }
 
 const EndRow EndRows[] = {
-    {Ends::Close, "draining"},
-    {Ends::LinkLost, ""},
-    {Ends::CallerGone, "cancelled"},
-    {Ends::Deadline, "deadline"},
+    {EndCause::Drain, "draining"},
+    {EndCause::LinkLost, ""},
+    {EndCause::CallerCancels, "cancelled"},
+    {EndCause::Deadline, "deadline"},
 };
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(WhatTheUpstreamHasNotSeenIsRefusedAtOnce,
-                     data::make(HeldRows), Row) {
-  Fixture Of;
-  Of.listSlots(1);
-  if (Row.How == Takes::BodyFirst)
-    Of.makeLinkSlow();
-  if (Row.How == Takes::Queue)
-    Of.sendOpen(Of.makeOpen(1));
-  Of.openUpload(2, /*Held=*/Row.How != Takes::SlotUnasked);
-  if (Row.Came)
-    Of.sendBody(2, 0, Row.Came, /*End=*/false);
-  Of.StartedCalls.clear();
-  Of.TestGate->drain("list", Of.Now);
-  BOOST_REQUIRE(Of.lastFailed());
-  BOOST_TEST(Of.lastFailed()->seq == 2u);
-  BOOST_TEST(Of.lastFailed()->reason == "draining");
-  BOOST_TEST((Of.lastFailed()->outcome == wire::Outcome::NotRun));
-  Of.sendBody(2, Row.Came, 20000 - Row.Came, /*End=*/true);
-  Of.TestGate->tick(Of.Now + Millis(100));
-  BOOST_TEST(Of.StartedCalls.empty());
-  BOOST_TEST(Of.CancelledCalls.empty());
+BOOST_DATA_TEST_CASE(UnstartedUploadsAreRefusedAtOnce, data::make(UploadRows),
+                     Row) {
+  Fixture Test;
+  Test.listSlots(1);
+  if (Row.Upload == UploadState::Prefetching)
+    Test.makeLinkSlow();
+  if (Row.Upload == UploadState::Queued)
+    Test.sendOpen(Test.makeOpen(1));
+  Test.openUpload(2, /*HoldsBody=*/Row.Upload != UploadState::HasSlotUnasked);
+  if (Row.BytesArrived)
+    Test.sendBody(2, 0, Row.BytesArrived, /*End=*/false);
+  Test.StartedCalls.clear();
+  Test.TestGate->drain("list", Test.Now);
+  BOOST_REQUIRE(Test.lastFailed());
+  BOOST_TEST(Test.lastFailed()->seq == 2u);
+  BOOST_TEST(Test.lastFailed()->reason == "draining");
+  BOOST_TEST((Test.lastFailed()->outcome == wire::Outcome::NotRun));
+  Test.sendBody(2, Row.BytesArrived, 20000 - Row.BytesArrived, /*End=*/true);
+  Test.TestGate->tick(Test.Now + Millis(100));
+  BOOST_TEST(Test.StartedCalls.empty());
+  BOOST_TEST(Test.CancelledCalls.empty());
 }
 
-// An upload has its slot and half of its body. Whatever ends it then, its slot
-// is free for others, nothing of it ran, and the rest of the body, which was on
-// its way, does not start it.
-BOOST_DATA_TEST_CASE(AnUploadThatEndsBeforeItsBodyIsThereNeverRuns,
-                     data::make(EndRows), Row) {
-  Fixture Of;
-  Of.listSlots(1);
-  Of.openUpload(1);
-  Of.sendBody(1, 0, 10000, /*End=*/false);
-  BOOST_TEST(Of.TestGate->load(Of.Now).in_flight() == 1u);
-  wire::CancelT Gone;
-  Gone.seq = 1;
-  switch (Row.How) {
-  case Ends::Close:
-    Of.TestGate->drain("list", Of.Now);
+// An upload with a slot and half of its body ends before the body is complete.
+// Its slot becomes free, the call is refused as not run, and the rest of the
+// body, which was already sent, must not start it.
+BOOST_DATA_TEST_CASE(UploadEndedBeforeItsBodyNeverRuns, data::make(EndRows),
+                     Row) {
+  Fixture Test;
+  Test.listSlots(1);
+  Test.openUpload(1);
+  Test.sendBody(1, 0, 10000, /*End=*/false);
+  BOOST_TEST(Test.TestGate->load(Test.Now).in_flight() == 1u);
+  wire::CancelT Cancel;
+  Cancel.seq = 1;
+  switch (Row.Cause) {
+  case EndCause::Drain:
+    Test.TestGate->drain("list", Test.Now);
     break;
-  case Ends::LinkLost:
-    Of.TestGate->linkDown(Fixture::Link, Of.Now);
+  case EndCause::LinkLost:
+    Test.TestGate->linkDown(Fixture::Link, Test.Now);
     break;
-  case Ends::CallerGone:
-    Of.TestGate->handleFrame(Fixture::Link, callFrame(std::move(Gone)), Of.Now);
+  case EndCause::CallerCancels:
+    Test.TestGate->handleFrame(Fixture::Link, callFrame(std::move(Cancel)),
+                               Test.Now);
     break;
-  case Ends::Deadline:
-    Of.Now += Millis(2001);
-    Of.TestGate->tick(Of.Now);
+  case EndCause::Deadline:
+    Test.Now += Millis(2001);
+    Test.TestGate->tick(Test.Now);
     break;
   }
-  // Over a lost link nobody can be told.
-  BOOST_TEST((Of.lastFailed() ? Of.lastFailed()->reason : "") == Row.Reason);
-  if (Of.lastFailed())
-    BOOST_TEST((Of.lastFailed()->outcome == wire::Outcome::NotRun));
-  BOOST_TEST(Of.TestGate->load(Of.Now).in_flight() == 0u);
-  Of.sendBody(1, 10000, 10000, /*End=*/true);
-  BOOST_TEST(Of.StartedCalls.empty());
-  BOOST_TEST(Of.TestGate->idle());
+  // The refusal cannot be sent over a lost link.
+  BOOST_TEST((Test.lastFailed() ? Test.lastFailed()->reason : "") ==
+             Row.ExpectedReason);
+  if (Test.lastFailed())
+    BOOST_TEST((Test.lastFailed()->outcome == wire::Outcome::NotRun));
+  BOOST_TEST(Test.TestGate->load(Test.Now).in_flight() == 0u);
+  Test.sendBody(1, 10000, 10000, /*End=*/true);
+  BOOST_TEST(Test.StartedCalls.empty());
+  BOOST_TEST(Test.TestGate->idle());
 }
 
-// An upload of this node's own callers waits for a slot, and as much of its
-// body has come as may without a word from here. With its slot the rest is
-// asked for: else it would hold the slot, doing nothing, until its time is
-// over.
-BOOST_FIXTURE_TEST_CASE(ASlotLetsTheRestOfABodyCome, Fixture) {
+// An upload whose entry sends without being asked waits for a slot and has sent
+// as much as the window allows. When it gets the slot, credit must be sent;
+// otherwise it would hold the slot unused until its deadline.
+BOOST_FIXTURE_TEST_CASE(CreditIsSentWhenAnUploadGetsItsSlot, Fixture) {
   this->listSlots(1);
   this->sendOpen(this->makeOpen(1));
-  this->openUpload(2, /*Held=*/false);
+  this->openUpload(2, /*HoldsBody=*/false);
   this->sendBody(2, 0, 16000, /*End=*/false);
   this->SentFrames.clear();
   ResponseHead Head;
@@ -336,8 +346,8 @@
   BOOST_TEST(this->StartedCalls.size() == 2u);
 }
 
-// The other side of it: a run that has begun is not broken off.
-BOOST_FIXTURE_TEST_CASE(WhatRunsGoesOn, Fixture) {
+// Draining does not abort a call that already runs at the upstream.
+BOOST_FIXTURE_TEST_CASE(RunningCallsContinue, Fixture) {
   this->sendOpen(this->makeOpen(1));
   this->openUpload(2);
   this->sendBody(2, 0, 20000, /*End=*/true);
