--- a/src/calls/GateCrashesTest.cpp
+++ b/src/calls/GateCrashesTest.cpp
@@ -11,7 +11,7 @@
 
 using Standing = Quarantine::Standing;
 
-/// A gate with calls under way whose connections can end.
+/// A gate with running calls whose connections to the upstream can be ended.
 struct Fixture : GateFixture {
   void openPath(uint64_t Seq, const std::string &Path, uint8_t Crashes = 0) {
     wire::OpenT Open = this->makeOpen(Seq);
@@ -30,74 +30,77 @@
     Head.Length = 0;
     this->TestGate->upstreamHead({7, Seq}, Head, this->Now);
   }
-  /// What the entry was told of the upstream: whether it is gone.
-  std::vector<bool> toldGone() const {
-    std::vector<bool> Out;
-    for (const wire::CallFrameT &One : this->SentFrames)
-      if (const auto *Pong = One.payload.AsPong())
-        Out.push_back(Pong->gone);
-    return Out;
+  /// The gone flag of each Pong sent to the entry.
+  std::vector<bool> announcedGone() const {
+    std::vector<bool> Announced;
+    for (const wire::CallFrameT &Frame : this->SentFrames)
+      if (const auto *Pong = Frame.payload.AsPong())
+        Announced.push_back(Pong->gone);
+    return Announced;
   }
-  std::string reason() const {
+  std::string failureReason() const {
     return this->lastFailed() ? this->lastFailed()->reason : "";
   }
 };
 
-/// What happens at the upstream, and what the entry and the fleet are told.
+/// How a connection to the upstream ends, and what the gate then reports.
 struct EndRow {
-  const char *What;
+  const char *Name;
   Errc Code;
-  // What the probe finds; nothing where it finds nothing in time.
-  std::optional<UpstreamPort> Found;
+  // Result of the probe; nothing if it has no result in time.
+  std::optional<UpstreamPort> ProbeResult;
   bool Draining;
-  const char *Reason;
-  size_t Crashes;
+  const char *ExpectedReason;
+  size_t ExpectedCrashes;
 };
-std::ostream &operator<<(std::ostream &To, const EndRow &Of) {
-  return To << Of.What;
+std::ostream &operator<<(std::ostream &Stream, const EndRow &Row) {
+  return Stream << Row.Name;
 }
 
-const EndRow Ends[] = {
-    {"it is gone", Errc::Closed, UpstreamPort::Closed, false,
+const EndRow EndRows[] = {
+    {"its port is closed", Errc::Closed, UpstreamPort::Closed, false,
      "upstream-crashed", 1},
-    {"it takes connections", Errc::Closed, UpstreamPort::Open, false,
+    {"its port is open", Errc::Closed, UpstreamPort::Open, false,
      "upstream-closed", 0},
-    {"nobody says so", Errc::Closed, std::nullopt, false, "upstream-closed", 0},
-    {"it was leaving", Errc::Closed, UpstreamPort::Closed, true,
+    {"the probe has no result", Errc::Closed, std::nullopt, false,
+     "upstream-closed", 0},
+    {"it was draining", Errc::Closed, UpstreamPort::Closed, true,
      "upstream-crashed", 0},
-    {"it is full, or ending", Errc::Closed, UpstreamPort::Unclear, false,
+    {"the probe is inconclusive", Errc::Closed, UpstreamPort::Unclear, false,
      "upstream-closed", 0},
-    {"it sent rubbish", Errc::BadMessage, UpstreamPort::Closed, false,
-     "upstream-bad-message", 0},
+    {"it sent a malformed answer", Errc::BadMessage, UpstreamPort::Closed,
+     false, "upstream-bad-message", 0},
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(GateCrashes)
+BOOST_AUTO_TEST_SUITE(GateUpstreamCrashes)
 
-// A connection ends under a run. The caller is told that the outcome is
-// unknown in any case; the request is suspected only if its upstream is gone,
-// without having said that it leaves.
-BOOST_DATA_TEST_CASE(ACrashIsToldFromALostAnswer, data::make(Ends), Row) {
-  Fixture Of;
-  Of.openPath(1, "/x");
+// The connection of a running call ends. The outcome is always reported as
+// unknown; a crash is reported only if the upstream is gone without having
+// announced that it leaves.
+BOOST_DATA_TEST_CASE(CrashIsDistinguishedFromLostAnswer, data::make(EndRows),
+                     Row) {
+  Fixture Test;
+  Test.openPath(1, "/x");
   if (Row.Draining)
-    Of.TestGate->drain("list", Of.Now);
-  Of.connectionEnds(1, Row.Code);
-  BOOST_TEST(Of.ProbeCount == (Row.Code == Errc::Closed ? 1u : 0u));
-  if (Row.Found && Of.ProbeCount)
-    Of.TestGate->upstreamProbed(*Row.Found, Of.Now);
-  Of.Now += Millis(150);
-  Of.TestGate->tick(Of.Now);
-  BOOST_TEST(Of.reason() == Row.Reason);
-  BOOST_TEST((Of.lastFailed()->outcome == wire::Outcome::Unknown));
-  BOOST_TEST(Of.ReportedCrashes.size() == Row.Crashes);
-  BOOST_TEST(Of.TestGate->idle());
+    Test.TestGate->drain("list", Test.Now);
+  Test.connectionEnds(1, Row.Code);
+  BOOST_TEST(Test.ProbeCount == (Row.Code == Errc::Closed ? 1u : 0u));
+  if (Row.ProbeResult && Test.ProbeCount)
+    Test.TestGate->upstreamProbed(*Row.ProbeResult, Test.Now);
+  Test.Now += Millis(150);
+  Test.TestGate->tick(Test.Now);
+  BOOST_TEST(Test.failureReason() == Row.ExpectedReason);
+  BOOST_TEST((Test.lastFailed()->outcome == wire::Outcome::Unknown));
+  BOOST_TEST(Test.ReportedCrashes.size() == Row.ExpectedCrashes);
+  BOOST_TEST(Test.TestGate->idle());
 }
 
-// Three requests run when the upstream crashes; the first connection to end
-// tells of it. All three are named, once, and all three callers are told.
-BOOST_FIXTURE_TEST_CASE(AllThatRanIsNamedOnce, Fixture) {
+// Three requests run when the upstream crashes, and the first lost connection
+// starts the probe. One crash is reported with all three requests, and all
+// three calls fail.
+BOOST_FIXTURE_TEST_CASE(AllRunningRequestsAreReportedOnce, Fixture) {
   for (uint64_t Seq = 1; Seq <= 3; ++Seq)
     this->openPath(Seq, "/" + std::to_string(Seq));
   this->connectionEnds(2);
@@ -110,12 +113,12 @@
   BOOST_TEST(this->ProbeCount == 1u);
   BOOST_TEST(this->ReportedCrashes.size() == 1u);
   BOOST_TEST(this->TestGate->counters().Unknown == 3u);
-  BOOST_TEST(this->reason() == "upstream-crashed");
+  BOOST_TEST(this->failureReason() == "upstream-crashed");
 }
 
-// Many calls find the port closed at once. One look is enough, and the next
-// comes when the first is over.
-BOOST_FIXTURE_TEST_CASE(OneLookAtATime, Fixture) {
+// Guards against a burst of probes when many calls find the port closed at
+// once: only one probe runs at a time.
+BOOST_FIXTURE_TEST_CASE(OneProbeAtATime, Fixture) {
   for (uint64_t Seq = 1; Seq <= 5; ++Seq)
     this->openPath(Seq, "/x");
   for (uint64_t Seq = 1; Seq <= 5; ++Seq)
@@ -124,40 +127,40 @@
         Error{Errc::Unreachable, "upstream-call", "up-1", "refused"},
         this->Now);
   BOOST_TEST(this->ProbeCount == 1u);
-  BOOST_TEST(this->reason() == "upstream-unreachable");
+  BOOST_TEST(this->failureReason() == "upstream-unreachable");
   this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
-  // Nothing ran there, so nothing is suspected.
+  // No request ran, so none is suspected.
   BOOST_TEST(this->ReportedCrashes.empty());
-  BOOST_TEST(this->toldGone() == std::vector<bool>{true});
+  BOOST_TEST(this->announcedGone() == std::vector<bool>{true});
 }
 
-// A process crashes, and its port closes a moment after its first connection.
-// The gate asks again, and finds it gone.
-BOOST_FIXTURE_TEST_CASE(APortThatClosesLateIsAskedAgain, Fixture) {
+// Guards against missing a crash when the port closes a moment after the first
+// connection: an inconclusive probe is repeated.
+BOOST_FIXTURE_TEST_CASE(InconclusiveProbeIsRepeated, Fixture) {
   this->openPath(1, "/x");
   this->connectionEnds(1);
   this->TestGate->upstreamProbed(UpstreamPort::Unclear, this->Now);
-  BOOST_TEST(this->reason() == "");
+  BOOST_TEST(this->failureReason() == "");
   this->Now += Millis(20);
   this->TestGate->tick(this->Now);
   BOOST_TEST(this->ProbeCount == 2u);
   this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
-  BOOST_TEST(this->reason() == "upstream-crashed");
+  BOOST_TEST(this->failureReason() == "upstream-crashed");
   BOOST_TEST(this->ReportedCrashes.size() == 1u);
 }
 
-// The list names an upstream for seconds after its crash. Callers who are sent
-// there find nothing, and are refused in the end although others have room:
-// what a call may be offered is used up. Whoever has a link is told at once,
-// nothing is started meanwhile, and all are told when the port is open again.
-BOOST_FIXTURE_TEST_CASE(AnUpstreamThatIsGoneIsToldOf, Fixture) {
+// Guards against calls that use up their offers at the gate of a crashed
+// upstream, which the instance list names for seconds after the crash, and are
+// refused although other gates have capacity. Entries are notified at once and
+// again when the port is open; no call is started in between.
+BOOST_FIXTURE_TEST_CASE(GoneUpstreamIsAnnouncedToEntries, Fixture) {
   this->openPath(1, "/x");
   this->connectionEnds(1);
   this->TestGate->upstreamProbed(UpstreamPort::Closed, this->Now);
-  BOOST_TEST(this->toldGone() == std::vector<bool>{true});
+  BOOST_TEST(this->announcedGone() == std::vector<bool>{true});
   this->openPath(2, "/y");
   BOOST_TEST(this->StartedCalls.size() == 1u);
-  BOOST_TEST(this->reason() == "upstream-gone");
+  BOOST_TEST(this->failureReason() == "upstream-gone");
   BOOST_TEST((this->lastFailed()->outcome == wire::Outcome::NotRun));
   size_t Before = this->ProbeCount;
   for (int I = 0; I < 10; ++I) {
@@ -167,33 +170,33 @@
   }
   BOOST_TEST(this->ProbeCount == Before + 10);
   this->TestGate->upstreamProbed(UpstreamPort::Open, this->Now);
-  BOOST_TEST(this->toldGone() == (std::vector<bool>{true, false}));
+  BOOST_TEST(this->announcedGone() == (std::vector<bool>{true, false}));
   this->openPath(3, "/z");
   BOOST_TEST(this->StartedCalls.size() == 2u);
 }
 
-// A caller sends a request that is held. It must not reach the upstream, and
-// its caller is told truly that it has not run, and when to come back.
+// A quarantined request must not reach the upstream. It is refused as not run,
+// with the time after which it may be retried.
 BOOST_FIXTURE_TEST_CASE(WhatIsUnfinishedCallsIsRefused, Fixture) {
   this->QuarantineDecision = {Standing::Held, Millis(5000)};
   this->openPath(1, "/x");
   BOOST_TEST(this->StartedCalls.empty());
   BOOST_REQUIRE(this->lastFailed());
-  BOOST_TEST(this->reason() == "quarantined");
+  BOOST_TEST(this->failureReason() == "quarantined");
   BOOST_TEST((this->lastFailed()->outcome == wire::Outcome::NotRun));
   BOOST_TEST(this->lastFailed()->retry_after_ms == 5000u);
 }
 
-// Of two suspects at one upstream a crash would not show which is to blame, and
-// the innocent would be held with the other. The second is sent elsewhere; two
-// runs of the same request may stand side by side.
-BOOST_FIXTURE_TEST_CASE(SuspectsRunOneAtATime, Fixture) {
+// If two suspect requests ran at one upstream, a crash would not show which one
+// caused it, and both would be quarantined. The second is refused and goes to
+// another gate; two runs of the same request may run together.
+BOOST_FIXTURE_TEST_CASE(DifferentSuspectsDoNotRunTogether, Fixture) {
   this->openPath(1, "/free");
   this->QuarantineDecision = {Standing::Suspect, Millis(0)};
   this->openPath(2, "/one");
   this->openPath(3, "/two");
   BOOST_TEST(this->StartedCalls.size() == 2u);
-  BOOST_TEST(this->reason() == "beside-suspect");
+  BOOST_TEST(this->failureReason() == "beside-suspect");
   BOOST_TEST((this->lastFailed()->outcome == wire::Outcome::NotRun));
   this->openPath(4, "/one");
   BOOST_TEST(this->StartedCalls.size() == 3u);
@@ -205,19 +208,21 @@
   BOOST_TEST(this->StartedCalls.size() == 4u);
 }
 
-// The entry has seen an upstream crash under the call a moment ago. The news
-// may not have come here yet, but the call brings it along.
-BOOST_FIXTURE_TEST_CASE(ACallThatComesFromACrashIsASuspect, Fixture) {
+// An upstream of another gate has just crashed under the call. The quarantine
+// record may not have arrived here yet, but the call carries the crash count,
+// so its request is treated as a suspect.
+BOOST_FIXTURE_TEST_CASE(CallWithEarlierCrashIsASuspect, Fixture) {
   this->openPath(1, "/one", /*Crashes=*/1);
   this->openPath(2, "/two", /*Crashes=*/1);
   BOOST_TEST(this->StartedCalls.size() == 1u);
-  BOOST_TEST(this->reason() == "beside-suspect");
+  BOOST_TEST(this->failureReason() == "beside-suspect");
 }
 
-// A long body comes in pieces. The request has the same name as at an entry
-// that has read it whole, or it would be held at one of the two only.
-BOOST_FIXTURE_TEST_CASE(ABodyIsPartOfTheName, Fixture) {
-  this->openUpload(1, /*Held=*/false);
+// The fingerprint covers a body that arrives in several frames, as at an entry
+// that has read the whole body. Otherwise the request would be quarantined at
+// only one of the two.
+BOOST_FIXTURE_TEST_CASE(FingerprintIncludesTheBody, Fixture) {
+  this->openUpload(1, /*HoldsBody=*/false);
   this->sendBody(1, 0, 12000, /*End=*/false);
   this->sendBody(1, 12000, 8000, /*End=*/true);
   BOOST_REQUIRE(this->StartedCalls.size() == 1u);
