--- a/src/calls/Gate.h
+++ b/src/calls/Gate.h
@@ -143,7 +143,9 @@
   struct Counters {
     uint64_t Started = 0;
     uint64_t Answered = 0;
+    /// Calls that ended with an unknown outcome.
     uint64_t Unknown = 0;
+    /// Calls refused as not run, by reason.
     std::map<std::string, uint64_t> RefusedBy;
   };
 
