--- a/src/calls/GateColdTest.cpp
+++ b/src/calls/GateColdTest.cpp
@@ -61,17 +61,17 @@
 };
 
 /// An event at the gate of a warm upstream, and whether the upstream counts as
-/// cold after it.
-struct SignRow {
+/// cold afterwards.
+struct RestartSignRow {
   const char *Name;
   std::function<void(Fixture &)> Trigger;
   bool ExpectedCold;
 };
-std::ostream &operator<<(std::ostream &Stream, const SignRow &Row) {
+std::ostream &operator<<(std::ostream &Stream, const RestartSignRow &Row) {
   return Stream << Row.Name;
 }
 
-const SignRow Signs[] = {
+const RestartSignRow RestartSigns[] = {
     {"nothing", [](Fixture &) {}, false},
     {"the list names a new upstream process",
      [](Fixture &Test) { Test.listUpstream("up-2"); }, true},
@@ -107,7 +107,7 @@
 // would crash under them. After each sign of a restart the gate queries the
 // upstream's health and limits calls until the upstream reports that it is
 // warm.
-BOOST_DATA_TEST_CASE(SignsOfARestartLimitCalls, data::make(Signs), Row) {
+BOOST_DATA_TEST_CASE(SignsOfARestartLimitCalls, data::make(RestartSigns), Row) {
   Fixture Test;
   Test.makeWarm();
   Test.HealthQueries.clear();
