--- a/src/calls/GateCallsTest.cpp
+++ b/src/calls/GateCallsTest.cpp
@@ -89,8 +89,8 @@
 }
 
 // When an entry's process is gone, so is the caller's connection. Idempotent
-// calls are aborted because nobody receives their answers; a call that must not
-// be repeated continues to run.
+// calls are aborted because no caller receives their answers; a call that must
+// not be repeated continues to run.
 BOOST_FIXTURE_TEST_CASE(IdempotentCallsOfLostEntryAreAborted, Fixture) {
   wire::OpenT Safe = this->makeOpen(1);
   Safe.idempotent = true;
--- a/src/calls/GateLinks.cpp
+++ b/src/calls/GateLinks.cpp
@@ -114,7 +114,7 @@
 
 // Aborts idempotent calls that no entry has resumed within AbandonedGrace of
 // the loss of their link. The entry's process has died or cannot be reached, so
-// the caller has lost its connection too and nobody would receive the answer.
+// the caller has lost its connection too and cannot receive the answer.
 void Gate::abortAbandonedCalls(TimePoint Now) {
   for (auto Lost = this->LinkLostAt.begin(); Lost != this->LinkLostAt.end();) {
     if (Now - Lost->second < this->Opts.AbandonedGrace) {
