--- a/src/calls/Gate.cpp
+++ b/src/calls/Gate.cpp
@@ -4,86 +4,92 @@
 
 #include <algorithm>
 
-// A call goes through Waiting, perhaps Admitted, Running and Finished; one that
-// never ran ends in Refused. Its record stays until its deadline and
-// RememberSlack have passed, and that memory carries two promises.
+// Each call is a state machine: Waiting, possibly Admitted, then Running and
+// Finished; a call that never runs ends in Refused. Its record is kept until
+// its deadline and RetainAfterDeadline have passed. Two guarantees depend on
+// these records.
 //
-// At most once: an entry whose link went silent asks for the same id over a
-// new link. A known id joins the call as it stands and is never started again.
-// An unknown id is entered as Refused before the answer "not run" goes out, so
-// that the first copy, should it still come out of the silent link, finds the
+// A call runs at most once. An entry whose link became unresponsive asks for
+// the same call id over a new link. If the id is known, the entry resumes the
+// call in its present state, and the call is never started again. If the id is
+// unknown, it is recorded as Refused before the answer "not run" is sent. If
+// the first copy of the call still arrives over the old link, it finds this
 // record and does not run.
 //
-// True refusals: a call may be told "not run" only from the states Waiting,
-// Admitted and Refused. Start, the only step that cannot be taken back, is the
-// last thing start() does, after the deadline was checked against a fresh
-// clock.
+// A refusal is true. Only calls in the states Waiting, Admitted and Refused may
+// be reported as "not run". Starting a call at the upstream cannot be undone,
+// so startCall() does it last, after checking the deadline against a fresh
+// clock reading.
 
 namespace hickorylift {
 
-Gate::Gate(Options GivenOpts, Hooks Hooks)
-    : Opts(std::move(GivenOpts)), Hook(std::move(Hooks)),
-      Slots(this->Opts.Slots, this->Opts.Seed),
-      Judge(this->Opts.Keys, this->Opts.Self), Transfers(this->Opts.Transfers),
-      Watch(this->Opts.Runs) {}
-
-void Gate::configure(const ConfigPtr &New, TimePoint Now) {
-  const Service *Named = New->findService(this->Opts.Service);
-  // The old configuration stays alive here until the new one is set.
-  ConfigPtr Old = std::exchange(this->InForce, New);
-  this->Of = Named;
-  this->configureSlots(Now);
-  this->askWhetherCold(Now);
-  this->pump(Now);
+Gate::Gate(Options GivenOpts, Hooks GivenHooks)
+    : Opts(std::move(GivenOpts)), Hook(std::move(GivenHooks)),
+      AdmissionControl(this->Opts.AdmissionOpts, this->Opts.Seed),
+      KeyChecker(this->Opts.IdempotencyOpts, this->Opts.Self),
+      Transfers(this->Opts.TransferOpts), Runs(this->Opts.CrashDetectorOpts) {}
+
+void Gate::configure(const ConfigPtr &NewConfig, TimePoint Now) {
+  const Service *NewService = NewConfig->findService(this->Opts.Service);
+  // Keeps the old configuration alive until ServiceConfig, which points into
+  // it, has been replaced.
+  ConfigPtr OldConfig = std::exchange(this->ActiveConfig, NewConfig);
+  this->ServiceConfig = NewService;
+  this->configureAdmission(Now);
+  this->queryHealthIfNeeded(Now);
+  this->advanceQueue(Now);
 }
 
-// The list knows this very upstream, the configuration only its service.
-void Gate::configureSlots(TimePoint Now) {
-  if (!this->Of)
+// The instance list may state the slots of this particular upstream, which
+// override those that the configuration gives for its service.
+void Gate::configureAdmission(TimePoint Now) {
+  if (!this->ServiceConfig)
     return;
-  Service Here = *this->Of;
+  Service Effective = *this->ServiceConfig;
   if (this->ListedSlots)
-    Here.Slots = this->ListedSlots;
-  this->Slots.configure(Here, Now);
+    Effective.Slots = this->ListedSlots;
+  this->AdmissionControl.configure(Effective, Now);
 }
 
-void Gate::members(const std::vector<const Instance *> &Upstreams,
-                   TimePoint Now) {
-  this->Judge.setUpstreams(Upstreams, Now);
-  for (const Instance *One : Upstreams) {
-    if (One->Name != this->Opts.Self)
+void Gate::membersChanged(const std::vector<const Instance *> &Upstreams,
+                          TimePoint Now) {
+  this->KeyChecker.setUpstreams(Upstreams, Now);
+  for (const Instance *Upstream : Upstreams) {
+    if (Upstream->Name != this->Opts.Self)
       continue;
-    if (this->ListedAs && !One->sameStart(*this->ListedAs)) {
-      this->Slots.upstreamRestarted(Now);
-      this->doubtWarm(Now);
+    if (this->ListedInstance && !Upstream->sameStart(*this->ListedInstance)) {
+      this->AdmissionControl.upstreamRestarted(Now);
+      this->suspectRestart(Now);
     }
-    this->ListedAs = *One;
-    this->Slots.coldStart().observeUpstream(One->Upstream, Now);
-    this->Slots.coldStart().listReported(One->ColdLeft, Now);
-    if (One->Slots == this->ListedSlots)
+    this->ListedInstance = *Upstream;
+    this->AdmissionControl.coldStart().observeUpstream(Upstream->Upstream, Now);
+    this->AdmissionControl.coldStart().listReported(Upstream->ColdLeft, Now);
+    if (Upstream->Slots == this->ListedSlots)
       continue;
-    this->ListedSlots = One->Slots;
-    this->configureSlots(Now);
+    this->ListedSlots = Upstream->Slots;
+    this->configureAdmission(Now);
   }
-  this->askWhetherCold(Now);
+  this->queryHealthIfNeeded(Now);
 }
 
-Gate::Call *Gate::find(const CallId &Id) {
+Gate::CallRecord *Gate::findCall(const CallId &Id) {
   auto Found = this->Calls.find(Id);
   return Found == this->Calls.end() ? nullptr : &Found->second;
 }
 
-const Limit *Gate::limitNamed(const std::string &Name) const {
-  return this->InForce && !Name.empty() ? this->InForce->findLimit(Name)
-                                        : nullptr;
+const Limit *Gate::findLimit(const std::string &Name) const {
+  return this->ActiveConfig && !Name.empty()
+             ? this->ActiveConfig->findLimit(Name)
+             : nullptr;
 }
 
-void Gate::frame(LinkId Link, const wire::CallFrameT &Frame, TimePoint Now) {
+void Gate::handleFrame(LinkId Link, const wire::CallFrameT &Frame,
+                       TimePoint Now) {
   auto Found = this->Links.find(Link);
   if (Found == this->Links.end())
     return;
   if (const auto *Hello = Frame.payload.AsCallHello()) {
-    this->Entries[Link] = Hello->incarnation;
+    this->EntryByLink[Link] = Hello->incarnation;
     return;
   }
   if (const auto *Open = Frame.payload.AsOpen())
@@ -97,368 +103,384 @@
   if (const auto *Ping = Frame.payload.AsPing())
     return this->sendPong(Link, Ping->nonce, Now);
   if (const auto *Pong = Frame.payload.AsPong())
-    if (Found->second.Barrier == Pong->nonce)
-      Found->second.Barrier.reset();
+    if (Found->second.PauseBarrier == Pong->nonce)
+      Found->second.PauseBarrier.reset();
 }
 
-Gate::Call &Gate::enter(const CallId &Id, Millis Budget, LinkId Link,
-                        TimePoint Now) {
-  Call &One = this->Calls.emplace(Id, Call(this->Opts.Window)).first->second;
-  One.Link = Link;
-  One.Linked = true;
-  One.CameAt = Now;
-  One.Deadline = Now + Budget;
-  this->Due.emplace(One.Deadline, Id);
-  return One;
+Gate::CallRecord &Gate::addRecord(const CallId &Id, Millis Budget, LinkId Link,
+                                  TimePoint Now) {
+  CallRecord &Call =
+      this->Calls.emplace(Id, CallRecord(this->Opts.BodyWindowBytes))
+          .first->second;
+  Call.Link = Link;
+  Call.Linked = true;
+  Call.ArrivedAt = Now;
+  Call.Deadline = Now + Budget;
+  this->Timers.emplace(Call.Deadline, Id);
+  return Call;
 }
 
 void Gate::onOpen(LinkId Link, const wire::OpenT &Open, TimePoint Now) {
-  this->Entries.try_emplace(Link, Open.entry);
+  this->EntryByLink.try_emplace(Link, Open.entry);
   if (Open.resume)
     return this->onResume(Link, Open, Now);
   CallId Id{Open.entry, Open.seq};
-  if (this->find(Id)) {
+  if (this->findCall(Id)) {
     if (this->Opts.Guards.RememberCalls)
-      return; // the late copy of a call that was asked for again
+      return; // a late copy; the entry has resumed this call already
     this->Calls.erase(Id);
   }
-  Call &One = this->enter(Id, Millis(Open.budget_ms), Link, Now);
-  One.Head.Method = Open.method;
-  One.Head.Path = Open.path;
-  One.Head.Headers = fromWire(Open.headers);
-  One.Head.Length = Open.length;
-  One.Upstream = Open.upstream;
-  One.BodyHeld = Open.holds_body;
-  One.Key = Open.idempotency_key;
-  One.Idempotent = Open.idempotent;
-  One.Crashes = Open.crashes;
-  this->judge(Id, One, Open, Now);
+  CallRecord &Call = this->addRecord(Id, Millis(Open.budget_ms), Link, Now);
+  Call.Request.Method = Open.method;
+  Call.Request.Path = Open.path;
+  Call.Request.Headers = fromWire(Open.headers);
+  Call.Request.Length = Open.length;
+  Call.ExpectedUpstream = Open.upstream;
+  Call.EntryHoldsBody = Open.holds_body;
+  Call.IdempotencyKey = Open.idempotency_key;
+  Call.Idempotent = Open.idempotent;
+  Call.CrashCount = Open.crashes;
+  this->evaluate(Id, Call, Open, Now);
 }
 
-void Gate::judge(const CallId &Id, Call &One, const wire::OpenT &Open,
-                 TimePoint Now) {
-  auto NotRun = [&](const std::string &Reason) {
+void Gate::evaluate(const CallId &Id, CallRecord &Call, const wire::OpenT &Open,
+                    TimePoint Now) {
+  auto RefuseNotRun = [&](const std::string &Reason) {
     this->refuse(
-        Id, One,
+        Id, Call,
         makeRefusal(Outcome::NotRun, Reason, StepAdmission, this->Opts.Self),
         Now);
   };
-  // Bytes that lay in the socket while this process stood still: the budget
-  // that they name ran out without being counted. Run now, the call could
-  // follow one that its caller made instead.
-  if (this->Links[One.Link].Barrier)
-    return NotRun("paused");
-  if (Open.service != this->Opts.Service || !this->Of)
-    return NotRun("not-my-service");
-  if (this->Gone)
-    return NotRun(UpstreamIsGone);
-  this->Slots.coldStart().observeUpstream(Open.upstream, Now);
-  this->askWhetherCold(Now);
-  if (this->Calls.size() > this->Opts.MaxRemembered)
-    return NotRun("memory-full");
-  Admission::Request &Wanted = One.Wanted;
-  Wanted.Id = Id;
-  Wanted.Deadline = One.Deadline;
-  Wanted.Priority = Open.priority;
-  Wanted.CallerClass = Open.caller_class;
-  Wanted.Target = Now + Millis(Open.target_ms);
-  Wanted.Kind = Open.route;
-  Wanted.Rank = Open.rank;
-  One.LimitName = Open.limit;
-  this->fetchesFirst(One, Now) ? this->fetch(Id, One, Now)
-                               : this->admit(Id, One, Now);
+  // The frame was in the socket while this process was paused, and its budget
+  // kept running out uncounted. If the call ran now, it could run after a call
+  // that the caller has made in its place.
+  if (this->Links[Call.Link].PauseBarrier)
+    return RefuseNotRun("paused");
+  if (Open.service != this->Opts.Service || !this->ServiceConfig)
+    return RefuseNotRun("not-my-service");
+  if (this->UpstreamGone)
+    return RefuseNotRun(ReasonUpstreamGone);
+  this->AdmissionControl.coldStart().observeUpstream(Open.upstream, Now);
+  this->queryHealthIfNeeded(Now);
+  if (this->Calls.size() > this->Opts.MaxCallRecords)
+    return RefuseNotRun("memory-full");
+  Admission::Request &SlotRequest = Call.SlotRequest;
+  SlotRequest.Id = Id;
+  SlotRequest.Deadline = Call.Deadline;
+  SlotRequest.Priority = Open.priority;
+  SlotRequest.CallerClass = Open.caller_class;
+  SlotRequest.Target = Now + Millis(Open.target_ms);
+  SlotRequest.Kind = Open.route;
+  SlotRequest.Rank = Open.rank;
+  Call.LimitName = Open.limit;
+  this->shouldPrefetchBody(Call, Now) ? this->prefetchBody(Id, Call, Now)
+                                      : this->requestSlot(Id, Call, Now);
 }
 
-void Gate::admit(const CallId &Id, Call &One, TimePoint Now) {
-  One.Fetching = false;
-  Admission::Request Wanted = One.Wanted;
-  Wanted.RouteLimit = this->limitNamed(One.LimitName);
-  Admission::Result Room = this->Slots.admit(Wanted, Now);
-  if (Room.Action == Admission::Decision::Refuse) {
-    Room.RefusalDetails.Peer = this->Opts.Self;
-    return this->refuse(Id, One, Room.RefusalDetails, Now);
+void Gate::requestSlot(const CallId &Id, CallRecord &Call, TimePoint Now) {
+  Call.Prefetching = false;
+  Admission::Request SlotRequest = Call.SlotRequest;
+  SlotRequest.RouteLimit = this->findLimit(Call.LimitName);
+  Admission::Result Result = this->AdmissionControl.admit(SlotRequest, Now);
+  if (Result.Action == Admission::Decision::Refuse) {
+    Result.RefusalDetails.Peer = this->Opts.Self;
+    return this->refuse(Id, Call, Result.RefusalDetails, Now);
   }
-  if (Room.Action == Admission::Decision::Run)
-    this->takeSlot(Id, One, Now);
+  if (Result.Action == Admission::Decision::Run)
+    this->onSlotGranted(Id, Call, Now);
 }
 
-bool Gate::judgeKey(const CallId &Id, Call &One, TimePoint Now) {
-  if (One.Key.empty() || One.Idempotent)
+bool Gate::checkIdempotencyKey(const CallId &Id, CallRecord &Call,
+                               TimePoint Now) {
+  if (Call.IdempotencyKey.empty() || Call.Idempotent)
     return true;
-  uint64_t Fingerprint =
-      combineHash(contentHash(One.Head.Method), contentHash(One.Head.Path));
-  IdempotencyChecker::Result Known = this->Judge.check(
-      One.Key, Fingerprint, this->Of->KeyWindow, this->Hook.ListAge(Now), Now);
-  if (Known.Action == IdempotencyChecker::Decision::Run)
+  uint64_t RequestHash = combineHash(contentHash(Call.Request.Method),
+                                     contentHash(Call.Request.Path));
+  IdempotencyChecker::Result KeyResult = this->KeyChecker.check(
+      Call.IdempotencyKey, RequestHash, this->ServiceConfig->KeyWindow,
+      this->Hook.ListAge(Now), Now);
+  if (KeyResult.Action == IdempotencyChecker::Decision::Run)
     return true;
-  One.Key.clear(); // another call's: its end must not touch the record
-  this->Slots.finished(Id, /*Answered=*/false, Now);
-  if (Known.Action == IdempotencyChecker::Decision::Replay)
-    this->replay(Id, One, std::move(Known), Now);
+  // Another call owns the record of this key, and the end of this call must not
+  // change it.
+  Call.IdempotencyKey.clear();
+  this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
+  if (KeyResult.Action == IdempotencyChecker::Decision::Replay)
+    this->replayAnswer(Id, Call, std::move(KeyResult), Now);
   else
-    this->refuse(Id, One, Known.RefusalDetails, Now);
+    this->refuse(Id, Call, KeyResult.RefusalDetails, Now);
   return false;
 }
 
-void Gate::replay(const CallId &Id, Call &One, IdempotencyChecker::Result Known,
-                  TimePoint Now) {
-  One.Now = State::Finished;
-  One.HaveHead = true;
-  One.Answer = std::move(Known.Head);
-  One.Answer.Headers.push_back({"Hickorylift-Replayed", "true"});
-  One.Answer.Length = static_cast<int64_t>(Known.Body.size());
-  One.Response.append(Known.Body);
-  One.Response.finish();
-  this->sendHead(Id, One, Now);
-  this->sendAnswer(Id, One);
+void Gate::replayAnswer(const CallId &Id, CallRecord &Call,
+                        IdempotencyChecker::Result Recorded, TimePoint Now) {
+  Call.Phase = State::Finished;
+  Call.HaveAnswerHead = true;
+  Call.AnswerHead = std::move(Recorded.Head);
+  Call.AnswerHead.Headers.push_back({"Hickorylift-Replayed", "true"});
+  Call.AnswerHead.Length = static_cast<int64_t>(Recorded.Body.size());
+  Call.AnswerBody.append(Recorded.Body);
+  Call.AnswerBody.finish();
+  this->sendHead(Id, Call, Now);
+  this->sendAnswer(Id, Call);
 }
 
-void Gate::start(const CallId &Id, Call &One, TimePoint Now) {
-  if (Now >= One.Deadline)
-    return this->refuse(Id, One,
+void Gate::startCall(const CallId &Id, CallRecord &Call, TimePoint Now) {
+  if (Now >= Call.Deadline)
+    return this->refuse(Id, Call,
                         makeRefusal(Outcome::NotRun, "deadline", StepAdmission,
                                     this->Opts.Self),
                         Now);
-  if (!this->mayRun(Id, One, Now) || !this->judgeKey(Id, One, Now))
+  if (!this->checkQuarantine(Id, Call, Now) ||
+      !this->checkIdempotencyKey(Id, Call, Now))
     return;
-  if (std::optional<Admission::Result> No = this->Slots.reserveCapacity(Now)) {
-    if (!One.Key.empty())
-      this->Judge.recordNotRun(One.Key);
-    No->RefusalDetails.Peer = this->Opts.Self;
-    return this->refuse(Id, One, std::move(No->RefusalDetails), Now);
+  if (std::optional<Admission::Result> Refused =
+          this->AdmissionControl.reserveCapacity(Now)) {
+    if (!Call.IdempotencyKey.empty())
+      this->KeyChecker.recordNotRun(Call.IdempotencyKey);
+    Refused->RefusalDetails.Peer = this->Opts.Self;
+    return this->refuse(Id, Call, std::move(Refused->RefusalDetails), Now);
   }
-  One.Now = State::Running;
-  One.Unsent = true;
-  One.StartedAt = Now;
-  this->Watch.runStarted(Id, One.Print, One.Suspected);
+  Call.Phase = State::Running;
+  Call.AwaitingSend = true;
+  Call.StartedAt = Now;
+  this->Runs.runStarted(Id, Call.RequestFingerprint, Call.Suspected);
   ++this->Counts.Started;
-  // What the upstream calls in turn has this much left.
-  setHeader(One.Head.Headers, this->Opts.Names.Budget,
-            std::to_string(toMillis(One.Deadline - Now).count()));
-  if (!this->Opts.Names.ExpectedUpstream.empty() && !One.Upstream.empty())
-    setHeader(One.Head.Headers, this->Opts.Names.ExpectedUpstream,
-              One.Upstream);
-  this->Hook.Start(Id, One.Head, One.Idempotent);
-  if (std::exchange(One.BodyHeld, false) && this->Transfers.request(Id, Now))
-    this->askForBody(Id, One);
-  std::string Early = std::exchange(One.EarlyBody, "");
-  this->forwardBody(Id, One, Early);
+  // The time left for the calls that the upstream makes for this one.
+  setHeader(Call.Request.Headers, this->Opts.HeaderNames.Budget,
+            std::to_string(toMillis(Call.Deadline - Now).count()));
+  if (!this->Opts.HeaderNames.ExpectedUpstream.empty() &&
+      !Call.ExpectedUpstream.empty())
+    setHeader(Call.Request.Headers, this->Opts.HeaderNames.ExpectedUpstream,
+              Call.ExpectedUpstream);
+  this->Hook.Start(Id, Call.Request, Call.Idempotent);
+  if (std::exchange(Call.EntryHoldsBody, false) &&
+      this->Transfers.request(Id, Now))
+    this->requestBody(Id, Call);
+  std::string Buffered = std::exchange(Call.BufferedBody, "");
+  this->forwardBody(Id, Call, Buffered);
 }
 
 void Gate::onCredit(LinkId Link, const wire::CreditT &Credit, TimePoint) {
-  CallId Id = this->idOn(Link, Credit.seq);
-  Call *One = this->find(Id);
-  if (!One || One->Link != Link)
+  CallId Id = this->callIdOn(Link, Credit.seq);
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || Call->Link != Link)
     return;
-  One->Response.credit(Credit.consumed);
-  this->sendAnswer(Id, *One);
-  if (One->AnswerPaused && One->Response.bufferedSize() <= this->Opts.Window) {
-    One->AnswerPaused = false;
+  Call->AnswerBody.credit(Credit.consumed);
+  this->sendAnswer(Id, *Call);
+  if (Call->AnswerPaused &&
+      Call->AnswerBody.bufferedSize() <= this->Opts.BodyWindowBytes) {
+    Call->AnswerPaused = false;
     this->Hook.PauseAnswer(Id, false);
   }
 }
 
 void Gate::onCancel(LinkId Link, const wire::CancelT &Cancel, TimePoint Now) {
-  CallId Id = this->idOn(Link, Cancel.seq);
-  Call *One = this->find(Id);
-  if (!One)
+  CallId Id = this->callIdOn(Link, Cancel.seq);
+  CallRecord *Call = this->findCall(Id);
+  if (!Call)
     return;
-  // Nobody takes the rest of its answer, and a stop need not wait for that.
-  if (One->Now == State::Finished)
-    One->Linked = false;
-  if (One->isUnseen())
-    this->refuse(Id, *One,
+  // The entry no longer wants the rest of the answer, so a stopping node need
+  // not wait until it is sent.
+  if (Call->Phase == State::Finished)
+    Call->Linked = false;
+  if (Call->isUnstarted())
+    this->refuse(Id, *Call,
                  makeRefusal(Outcome::NotRun, "cancelled", StepAdmission,
                              this->Opts.Self),
                  Now);
-  else if (One->Now == State::Running)
-    this->breakOff(Id, *One,
-                   makeRefusal(Outcome::Unknown, "cancelled", StepUpstream,
-                               this->Opts.Self),
-                   Now);
-  this->pump(Now);
+  else if (Call->Phase == State::Running)
+    this->abortCall(Id, *Call,
+                    makeRefusal(Outcome::Unknown, "cancelled", StepUpstream,
+                                this->Opts.Self),
+                    Now);
+  this->advanceQueue(Now);
 }
 
 void Gate::onResume(LinkId Link, const wire::OpenT &Open, TimePoint Now) {
   CallId Id{Open.entry, Open.seq};
-  Call *One = this->find(Id);
+  CallRecord *Call = this->findCall(Id);
   if (!this->Opts.Guards.RememberCalls) {
     wire::FailedT Failed;
     Failed.seq = Id.Seq;
     Failed.reason = "never-arrived";
     return this->Hook.Send(Link, makeCallFrame(std::move(Failed)));
   }
-  if (!One) {
-    One = &this->enter(Id, Millis(Open.budget_ms), Link, Now);
-    return this->refuse(Id, *One,
+  if (!Call) {
+    Call = &this->addRecord(Id, Millis(Open.budget_ms), Link, Now);
+    return this->refuse(Id, *Call,
                         makeRefusal(Outcome::NotRun, "never-arrived",
                                     StepAdmission, this->Opts.Self),
                         Now);
   }
-  One->Link = Link;
-  One->Linked = true;
-  this->Unlinked.erase(Id);
-  if (One->Now == State::Refused)
-    return this->sendFailed(Id, *One, Now);
-  if (!One->Response.rewind(Open.answer_received)) {
-    return this->breakOff(Id, *One,
-                          makeRefusal(Outcome::Unknown, "answer-lost",
-                                      StepAdmission, this->Opts.Self),
-                          Now);
+  Call->Link = Link;
+  Call->Linked = true;
+  this->LinkLostAt.erase(Id);
+  if (Call->Phase == State::Refused)
+    return this->sendFailed(Id, *Call, Now);
+  if (!Call->AnswerBody.rewind(Open.answer_received)) {
+    return this->abortCall(Id, *Call,
+                           makeRefusal(Outcome::Unknown, "answer-lost",
+                                       StepAdmission, this->Opts.Self),
+                           Now);
   }
-  wire::AdmittedT Joined;
-  Joined.seq = Id.Seq;
-  Joined.request_received = One->Request.received();
-  this->Hook.Send(Link, makeCallFrame(Joined));
-  if (One->HaveHead && !Open.have_head)
-    this->sendHead(Id, *One, Now);
-  this->sendAnswer(Id, *One);
+  wire::AdmittedT Resumed;
+  Resumed.seq = Id.Seq;
+  Resumed.request_received = Call->RequestBody.received();
+  this->Hook.Send(Link, makeCallFrame(Resumed));
+  if (Call->HaveAnswerHead && !Open.have_head)
+    this->sendHead(Id, *Call, Now);
+  this->sendAnswer(Id, *Call);
 }
 
-void Gate::refuse(const CallId &Id, Call &One, Refusal Why, TimePoint Now) {
-  if (One.isUnseen() || One.Now == State::Running)
-    this->Slots.finished(Id, /*Answered=*/false, Now);
-  this->settleSend(One);
+void Gate::refuse(const CallId &Id, CallRecord &Call, Refusal Details,
+                  TimePoint Now) {
+  if (Call.isUnstarted() || Call.Phase == State::Running)
+    this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
+  this->releaseSendReservation(Call);
   this->Transfers.cancel(Id);
-  this->Watch.removeRun(Id);
-  ++this->Counts.RefusedBy[Why.Reason];
-  One.Now = State::Refused;
-  One.Fetching = false;
-  One.Why = std::move(Why);
-  One.EarlyBody.clear();
-  this->sendFailed(Id, One, Now);
+  this->Runs.removeRun(Id);
+  ++this->Counts.RefusedBy[Details.Reason];
+  Call.Phase = State::Refused;
+  Call.Prefetching = false;
+  Call.RefusalDetails = std::move(Details);
+  Call.BufferedBody.clear();
+  this->sendFailed(Id, Call, Now);
 }
 
-// The call may have run: whatever it is told from here on is Unknown.
-void Gate::breakOff(const CallId &Id, Call &One, const Refusal &Why,
-                    TimePoint Now) {
-  if (One.Now == State::Running) {
+// Ends a call that may have run: its outcome is reported as Unknown from now
+// on.
+void Gate::abortCall(const CallId &Id, CallRecord &Call, const Refusal &Details,
+                     TimePoint Now) {
+  if (Call.Phase == State::Running) {
     this->Hook.Cancel(Id);
-    this->Watch.runCancelled(Id, Now);
-    this->Slots.finished(Id, /*Answered=*/false, Now);
+    this->Runs.runCancelled(Id, Now);
+    this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
   }
-  this->settleSend(One);
+  this->releaseSendReservation(Call);
   this->Transfers.cancel(Id);
-  if (!One.Key.empty())
-    this->Judge.recordOutcomeUnknown(One.Key, Now);
+  if (!Call.IdempotencyKey.empty())
+    this->KeyChecker.recordOutcomeUnknown(Call.IdempotencyKey, Now);
   ++this->Counts.Unknown;
-  One.Now = State::Refused;
-  One.Why = Why;
-  this->sendFailed(Id, One, Now);
+  Call.Phase = State::Refused;
+  Call.RefusalDetails = Details;
+  this->sendFailed(Id, Call, Now);
 }
 
-void Gate::pump(TimePoint Now) {
-  Admission::QueueUpdate Turn = this->Slots.advanceQueue(Now);
-  for (Admission::DroppedCall &Late : Turn.ToDrop) {
-    Late.RefusalDetails.Peer = this->Opts.Self;
-    if (Call *One = this->find(Late.Id))
-      this->refuse(Late.Id, *One, std::move(Late.RefusalDetails), Now);
+void Gate::advanceQueue(TimePoint Now) {
+  Admission::QueueUpdate Update = this->AdmissionControl.advanceQueue(Now);
+  for (Admission::DroppedCall &Dropped : Update.ToDrop) {
+    Dropped.RefusalDetails.Peer = this->Opts.Self;
+    if (CallRecord *Call = this->findCall(Dropped.Id))
+      this->refuse(Dropped.Id, *Call, std::move(Dropped.RefusalDetails), Now);
   }
-  for (const CallId &Id : Turn.ToRun)
-    if (Call *One = this->find(Id))
-      this->takeSlot(Id, *One, Now);
+  for (const CallId &Id : Update.ToRun)
+    if (CallRecord *Call = this->findCall(Id))
+      this->onSlotGranted(Id, *Call, Now);
   this->grantTransfers(Now);
 }
 
-void Gate::refuseUnseen(const std::string &Reason, TimePoint Now) {
-  for (auto &[Id, One] : this->Calls)
-    if (One.isUnseen())
+void Gate::refuseUnstarted(const std::string &Reason, TimePoint Now) {
+  for (auto &[Id, Call] : this->Calls)
+    if (Call.isUnstarted())
       this->refuse(
-          Id, One,
+          Id, Call,
           makeRefusal(Outcome::NotRun, Reason, StepAdmission, this->Opts.Self),
           Now);
 }
 
-void Gate::drain(const std::string &By, TimePoint Now) {
+void Gate::drain(const std::string &Reason, TimePoint Now) {
   if (!this->Opts.Guards.DrainClosesGate)
     return;
-  bool Closed = this->draining();
-  this->Slots.drain(By);
-  if (Closed)
+  bool WasDraining = this->draining();
+  this->AdmissionControl.drain(Reason);
+  if (WasDraining)
     return;
   for (const auto &[Link, State] : this->Links) {
-    wire::DrainingT Said;
-    Said.by = By;
-    this->Hook.Send(Link, makeCallFrame(std::move(Said)));
+    wire::DrainingT Notice;
+    Notice.by = Reason;
+    this->Hook.Send(Link, makeCallFrame(std::move(Notice)));
   }
-  this->refuseUnseen("draining", Now);
-  this->pump(Now);
+  this->refuseUnstarted("draining", Now);
+  this->advanceQueue(Now);
 }
 
-// Entries leave a gate aside that has said that it closes, send nothing there
-// any more, and so would not find out: with one upstream, its callers would be
-// refused for as long as the link lives.
-void Gate::reopen(const std::string &By, TimePoint Now) {
-  this->Slots.reopen(By);
+// Entries send no calls to a gate that has announced that it is draining, so
+// none of its answers would show them that it is open again. Without an
+// announcement, the callers of a service with one upstream would be refused for
+// as long as the link lives.
+void Gate::reopen(const std::string &Reason, TimePoint Now) {
+  this->AdmissionControl.reopen(Reason);
   if (!this->draining())
-    this->tellLinks(Now);
+    this->announceState(Now);
 }
 
 bool Gate::idle() const {
   return std::all_of(
-      this->Calls.begin(), this->Calls.end(), [](const auto &One) {
-        const Call &Of = One.second;
-        bool Told =
-            !Of.Linked || Of.Now == State::Refused || Of.Response.isComplete();
-        return Of.Now != State::Running && !Of.isUnseen() && Told;
+      this->Calls.begin(), this->Calls.end(), [](const auto &Item) {
+        const CallRecord &Call = Item.second;
+        bool AnswerDelivered = !Call.Linked || Call.Phase == State::Refused ||
+                               Call.AnswerBody.isComplete();
+        return Call.Phase != State::Running && !Call.isUnstarted() &&
+               AnswerDelivered;
       });
 }
 
-Gate::Held Gate::held() const {
-  Held Out;
-  for (const auto &[Id, One] : this->Calls) {
-    Out.Waiting += One.Now == State::Waiting;
-    Out.Admitted += One.Now == State::Admitted;
-    Out.Running += One.Now == State::Running;
+Gate::UnfinishedCalls Gate::unfinishedCalls() const {
+  UnfinishedCalls Counts;
+  for (const auto &[Id, Call] : this->Calls) {
+    Counts.Waiting += Call.Phase == State::Waiting;
+    Counts.Admitted += Call.Phase == State::Admitted;
+    Counts.Running += Call.Phase == State::Running;
   }
-  return Out;
+  return Counts;
 }
 
-void Gate::paused(TimePoint Now) {
+void Gate::processPaused(TimePoint Now) {
   if (!this->Opts.Guards.PauseBarrier)
     return;
   for (auto &[Link, State] : this->Links) {
     wire::PingT Ping;
     Ping.nonce = ++this->LastNonce;
-    State.Barrier = Ping.nonce;
+    State.PauseBarrier = Ping.nonce;
     this->Hook.Send(Link, makeCallFrame(Ping));
   }
   this->tick(Now);
 }
 
 void Gate::tick(TimePoint Now) {
-  this->Slots.coldStart().startCounting(Now);
-  this->endOrphans(Now);
-  this->lookForUpstream(Now);
-  this->askWhetherCold(Now);
-  while (!this->Due.empty() && this->Due.begin()->first <= Now) {
-    CallId Id = this->Due.begin()->second;
-    this->Due.erase(this->Due.begin());
-    this->onDue(Id, Now);
+  this->AdmissionControl.coldStart().startCounting(Now);
+  this->abortAbandonedCalls(Now);
+  this->reprobeIfDue(Now);
+  this->queryHealthIfNeeded(Now);
+  while (!this->Timers.empty() && this->Timers.begin()->first <= Now) {
+    CallId Id = this->Timers.begin()->second;
+    this->Timers.erase(this->Timers.begin());
+    this->onTimer(Id, Now);
   }
-  this->pump(Now);
-  this->Judge.expire(Now);
+  this->advanceQueue(Now);
+  this->KeyChecker.expire(Now);
 }
 
-void Gate::onDue(const CallId &Id, TimePoint Now) {
-  Call *One = this->find(Id);
-  if (!One)
+void Gate::onTimer(const CallId &Id, TimePoint Now) {
+  CallRecord *Call = this->findCall(Id);
+  if (!Call)
     return;
-  if (One->Fetching || One->Now == State::Admitted)
-    this->refuse(Id, *One,
+  if (Call->Prefetching || Call->Phase == State::Admitted)
+    this->refuse(Id, *Call,
                  makeRefusal(Outcome::NotRun, "deadline", StepAdmission,
                              this->Opts.Self),
                  Now);
-  if (One->Now == State::Running)
-    this->breakOff(Id, *One,
-                   makeRefusal(Outcome::Unknown, "deadline", StepUpstream,
-                               this->Opts.Self),
-                   Now);
-  TimePoint ForgetAt = One->Deadline + this->Opts.RememberSlack;
-  if (Now >= ForgetAt && One->Now != State::Waiting)
+  if (Call->Phase == State::Running)
+    this->abortCall(Id, *Call,
+                    makeRefusal(Outcome::Unknown, "deadline", StepUpstream,
+                                this->Opts.Self),
+                    Now);
+  TimePoint RemoveAt = Call->Deadline + this->Opts.RetainAfterDeadline;
+  if (Now >= RemoveAt && Call->Phase != State::Waiting)
     this->Calls.erase(Id);
   else
-    this->Due.emplace(std::max(ForgetAt, Now + Millis(1)), Id);
+    this->Timers.emplace(std::max(RemoveAt, Now + Millis(1)), Id);
 }
 
 } // namespace hickorylift
--- a/src/calls/GateCrashes.cpp
+++ b/src/calls/GateCrashes.cpp
@@ -1,10 +1,11 @@
 #include "calls/Gate.h"
 
-// Requests that crash the upstream. Before a call is started, it is asked what
-// is known against its request; when its connection ends under it, whether the
-// upstream is still there. Until that is known, a moment later, the call counts
-// as running: its entry would else send it on to the next upstream before
-// anybody knows that it may have crashed this one.
+// Handling of requests that crash the upstream. Before a call starts, the gate
+// checks whether its request is quarantined or suspected. When the connection
+// of a running call ends, the gate probes whether the upstream still accepts
+// connections. Until the result is known, a moment later, the call still counts
+// as running. If it were failed at once, its entry could send it on to the next
+// upstream before it is known that it may have crashed this one.
 
 namespace hickorylift {
 
@@ -15,113 +16,122 @@
 
 } // namespace
 
-// Whether the call may start now. If not, it is refused.
-bool Gate::mayRun(const CallId &Id, Call &One, TimePoint Now) {
-  bool Whole = One.Head.Length <= 0 || One.Request.ended();
-  One.Print = computeFingerprint(
-      One.Head, findHeader(One.Head.Headers, this->Opts.Names.Customer),
-      Whole && One.Head.Length > 0 ? One.EarlyBody : "");
-  Quarantine::Decision Known = this->Hook.Judge(One.Print, Now);
-  One.Suspected =
-      Known.RequestStatus != Quarantine::Status::Free || One.Crashes != 0;
-  bool Held = Known.RequestStatus == Quarantine::Status::Quarantined;
-  bool Beside = One.Suspected && this->Watch.hasOtherSuspect(One.Print);
-  if (!Held && !Beside)
+// Returns whether the call may start now. If not, the call has been refused.
+bool Gate::checkQuarantine(const CallId &Id, CallRecord &Call, TimePoint Now) {
+  bool BodyComplete = Call.Request.Length <= 0 || Call.RequestBody.ended();
+  Call.RequestFingerprint = computeFingerprint(
+      Call.Request,
+      findHeader(Call.Request.Headers, this->Opts.HeaderNames.Customer),
+      BodyComplete && Call.Request.Length > 0 ? Call.BufferedBody : "");
+  Quarantine::Decision Decision =
+      this->Hook.CheckQuarantine(Call.RequestFingerprint, Now);
+  Call.Suspected = Decision.RequestStatus != Quarantine::Status::Free ||
+                   Call.CrashCount != 0;
+  bool Quarantined = Decision.RequestStatus == Quarantine::Status::Quarantined;
+  bool OtherSuspectRuns =
+      Call.Suspected && this->Runs.hasOtherSuspect(Call.RequestFingerprint);
+  if (!Quarantined && !OtherSuspectRuns)
     return true;
-  Refusal Why =
-      makeRefusal(Outcome::NotRun, Held ? "quarantined" : "beside-suspect",
-                  StepAdmission, this->Opts.Self);
-  Why.RetryAfter = Held ? Known.RetryAfter : this->Opts.SuspectComeBack;
-  this->refuse(Id, One, std::move(Why), Now);
+  Refusal Details = makeRefusal(Outcome::NotRun,
+                                Quarantined ? "quarantined" : "beside-suspect",
+                                StepAdmission, this->Opts.Self);
+  Details.RetryAfter =
+      Quarantined ? Decision.RetryAfter : this->Opts.SuspectRetryAfter;
+  this->refuse(Id, Call, std::move(Details), Now);
   return false;
 }
 
-void Gate::connectionEnded(const CallId &Id, Call &One, const Error &Why,
-                           TimePoint Now) {
-  One.Broken = Why;
-  switch (this->Watch.connectionLost(Id, Now)) {
+void Gate::onConnectionLost(const CallId &Id, CallRecord &Call,
+                            const Error &Cause, TimePoint Now) {
+  Call.ConnectionError = Cause;
+  switch (this->Runs.connectionLost(Id, Now)) {
   case CrashDetector::Action::Probe:
-    return this->probe();
+    return this->startProbe();
   case CrashDetector::Action::Wait:
     return;
   case CrashDetector::Action::AlreadyCrashed:
-    this->failBroken(Id, UpstreamCrashed, Now);
-    return this->pump(Now);
+    this->failDisconnected(Id, UpstreamCrashed, Now);
+    return this->advanceQueue(Now);
   }
 }
 
-void Gate::upstreamProbed(UpstreamProbeResult Found, TimePoint Now) {
-  this->Probing = false;
-  this->ProbeAgain = Found == UpstreamProbeResult::Inconclusive;
+void Gate::upstreamProbed(UpstreamProbeResult Probed, TimePoint Now) {
+  this->ProbePending = false;
+  this->ProbeAgain = Probed == UpstreamProbeResult::Inconclusive;
   if (this->ProbeAgain)
     return;
-  if (Found == UpstreamProbeResult::Open) {
-    for (const CallId &Id : this->Watch.upstreamAlive())
-      this->failBroken(Id, UpstreamClosed, Now);
-    this->upstreamBack(Now);
-    return this->pump(Now);
+  if (Probed == UpstreamProbeResult::Open) {
+    for (const CallId &Id : this->Runs.upstreamAlive())
+      this->failDisconnected(Id, UpstreamClosed, Now);
+    this->markUpstreamBack(Now);
+    return this->advanceQueue(Now);
   }
-  CrashDetector::Crash Of = this->Watch.upstreamCrashed(Now);
-  std::vector<Quarantine::RunningRequest> Ran;
-  for (const CallId &Id : Of.Suspects)
-    if (const Call *One = this->find(Id))
-      Ran.push_back({One->Print, describeRequest(One->Head)});
-  // A leaving upstream ends by itself, and its port with it; a cold one under
-  // more calls than it bears, whatever they are.
-  bool Explained = this->draining() || this->Slots.coldStart().isOverLimit(Now);
-  if (!Explained && !Ran.empty())
-    this->Hook.Crashed(Ran, Now);
-  for (const CallId &Id : Of.BrokenRuns)
-    this->failBroken(Id, UpstreamCrashed, Now);
-  this->upstreamGone(Now);
-  this->pump(Now);
+  CrashDetector::Crash Crash = this->Runs.upstreamCrashed(Now);
+  std::vector<Quarantine::RunningRequest> Requests;
+  for (const CallId &Id : Crash.Suspects)
+    if (const CallRecord *Call = this->findCall(Id))
+      Requests.push_back(
+          {Call->RequestFingerprint, describeRequest(Call->Request)});
+  // No request is to blame if the upstream was leaving, because then it ends by
+  // itself, or if it was cold and received more calls than it can handle, which
+  // ends it whatever the requests are.
+  bool Explained =
+      this->draining() || this->AdmissionControl.coldStart().isOverLimit(Now);
+  if (!Explained && !Requests.empty())
+    this->Hook.UpstreamCrashed(Requests, Now);
+  for (const CallId &Id : Crash.BrokenRuns)
+    this->failDisconnected(Id, UpstreamCrashed, Now);
+  this->markUpstreamGone(Now);
+  this->advanceQueue(Now);
 }
 
-// The list names an upstream for seconds after it is gone. Whoever is sent here
-// meanwhile finds nothing, and so does everybody who has not been here yet:
-// calls used up their offers at gates like this one, and were refused while
-// others had room. So every entry with a link is told at once, and again when
-// the port is open.
-void Gate::upstreamGone(TimePoint Now) {
-  if (std::exchange(this->Gone, true))
+// The instance list still names an upstream for seconds after it is gone. Until
+// then, every entry that has not tried this gate yet would send it calls. Calls
+// used up their offers at such gates and were refused although other gates had
+// capacity. So every entry with a link is notified at once, and again when the
+// upstream accepts connections.
+void Gate::markUpstreamGone(TimePoint Now) {
+  if (std::exchange(this->UpstreamGone, true))
     return;
-  this->NextLook = Now + this->Opts.LookAgain;
-  this->refuseUnseen(UpstreamIsGone, Now);
-  this->tellLinks(Now);
+  this->NextProbe = Now + this->Opts.ReprobeInterval;
+  this->refuseUnstarted(ReasonUpstreamGone, Now);
+  this->announceState(Now);
 }
 
-void Gate::upstreamBack(TimePoint Now) {
-  if (!std::exchange(this->Gone, false))
+void Gate::markUpstreamBack(TimePoint Now) {
+  if (!std::exchange(this->UpstreamGone, false))
     return;
-  this->doubtWarm(Now);
-  this->tellLinks(Now);
+  this->suspectRestart(Now);
+  this->announceState(Now);
 }
 
-void Gate::lookForUpstream(TimePoint Now) {
-  if (this->Watch.isProbeOverdue(Now))
+void Gate::reprobeIfDue(TimePoint Now) {
+  if (this->Runs.isProbeOverdue(Now))
     return this->upstreamProbed(UpstreamProbeResult::Open, Now);
-  bool Due = this->Gone && Now >= this->NextLook;
+  bool Due = this->UpstreamGone && Now >= this->NextProbe;
   if (!Due && !this->ProbeAgain)
     return;
-  this->NextLook = Now + this->Opts.LookAgain;
+  this->NextProbe = Now + this->Opts.ReprobeInterval;
   this->ProbeAgain = false;
-  this->probe();
+  this->startProbe();
 }
 
-void Gate::probe() {
-  if (this->Hook.Probe && !std::exchange(this->Probing, true))
+void Gate::startProbe() {
+  if (this->Hook.Probe && !std::exchange(this->ProbePending, true))
     this->Hook.Probe();
 }
 
-void Gate::failBroken(const CallId &Id, const char *Reason, TimePoint Now) {
-  Call *One = this->find(Id);
-  if (!One || One->Now != State::Running)
+void Gate::failDisconnected(const CallId &Id, const char *Reason,
+                            TimePoint Now) {
+  CallRecord *Call = this->findCall(Id);
+  if (!Call || Call->Phase != State::Running)
     return;
-  Error Why = One->Broken.value_or(Error());
-  this->Slots.finished(Id, /*Answered=*/false, Now);
-  One->Now = State::Finished;
-  this->breakOff(
-      Id, *One, makeRefusal(Outcome::Unknown, Reason, Why.Step, Why.Peer), Now);
+  Error Cause = Call->ConnectionError.value_or(Error());
+  this->AdmissionControl.finished(Id, /*Answered=*/false, Now);
+  Call->Phase = State::Finished;
+  this->abortCall(Id, *Call,
+                  makeRefusal(Outcome::Unknown, Reason, Cause.Step, Cause.Peer),
+                  Now);
 }
 
 } // namespace hickorylift
--- a/src/calls/GateFixture.h
+++ b/src/calls/GateFixture.h
@@ -7,44 +7,46 @@
 
 #include <boost/test/unit_test.hpp>
 
-// For tests only: a gate of which the test plays the upstream and one entry.
+// For tests only: a gate whose upstream and one entry are simulated by the
+// test.
 //
 //   BOOST_FIXTURE_TEST_CASE(OneCall, GateFixture) {
-//     this->open(this->openOf(1));
-//     BOOST_TEST(this->Started.size() == 1u);
+//     this->sendOpen(this->makeOpen(1));
+//     BOOST_TEST(this->StartedCalls.size() == 1u);
 //   }
 
 namespace hickorylift {
 
-/// Of one upstream with ten slots.
+/// Configuration of one service whose upstreams have ten slots.
 inline const std::string GateRecords = R"([
   {"kind":"service","name":"a","schema":1,"slots":10},
   {"kind":"route","name":"r","schema":3,"match":{"prefix":"/"},
    "service":"a","idempotent":false}])";
 
-/// A gate whose upstream and one entry the test plays.
+/// A gate whose upstream and one entry (incarnation 7) are simulated by the
+/// test.
 struct GateFixture {
   static constexpr Gate::LinkId Link = 1;
 
-  std::unique_ptr<Gate> At;
-  std::vector<wire::CallFrameT> Sent;
-  std::vector<std::pair<CallId, RequestHead>> Started;
-  std::vector<CallId> Cancelled;
-  /// What stands against every request.
-  Quarantine::Decision Known;
-  /// The requests of each crash that the gate told of.
-  std::vector<std::vector<Quarantine::RunningRequest>> Crashes;
-  std::vector<Fingerprint> RanWell;
-  size_t Probes = 0;
-  /// Paths at which the upstream was asked how it is.
-  std::vector<std::string> AskedHealth;
-  /// Whether there is a connection for each request at once.
-  bool Sends = true;
+  std::unique_ptr<Gate> TestGate;
+  std::vector<wire::CallFrameT> SentFrames;
+  std::vector<std::pair<CallId, RequestHead>> StartedCalls;
+  std::vector<CallId> CancelledCalls;
+  /// The quarantine decision returned for every request.
+  Quarantine::Decision QuarantineDecision;
+  /// The running requests of each crash that the gate reported.
+  std::vector<std::vector<Quarantine::RunningRequest>> ReportedCrashes;
+  std::vector<Fingerprint> AnsweredRequests;
+  size_t ProbeCount = 0;
+  /// Paths at which the gate queried the upstream's health.
+  std::vector<std::string> HealthQueries;
+  /// Whether each started request is written to the upstream at once.
+  bool SendsAtOnce = true;
   TimePoint Now = TimePoint(std::chrono::hours(1));
 
-  /// A call with a long body that its entry sends once it is asked to, or as
-  /// it comes.
-  void openUpload(uint64_t Seq, bool Held = true) {
+  /// Opens a call with a long body. The entry sends the body when it is
+  /// requested if HoldsBody, otherwise without waiting.
+  void openUpload(uint64_t Seq, bool HoldsBody = true) {
     wire::OpenT Open;
     Open.seq = Seq;
     Open.entry = 7;
@@ -54,84 +56,89 @@
     Open.budget_ms = 2000;
     Open.target_ms = 500;
     Open.length = 20000;
-    Open.holds_body = Held;
-    this->At->frame(Link, makeCallFrame(std::move(Open)), this->Now);
+    Open.holds_body = HoldsBody;
+    this->TestGate->handleFrame(Link, makeCallFrame(std::move(Open)),
+                                this->Now);
   }
-  void body(uint64_t Seq, uint64_t Offset, size_t Size, bool End) {
+  void sendBody(uint64_t Seq, uint64_t Offset, size_t Size, bool End) {
     wire::DataT Data;
     Data.seq = Seq;
     Data.offset = Offset;
     Data.bytes.assign(Size, 'x');
     Data.end = End;
-    this->At->frame(Link, makeCallFrame(std::move(Data)), this->Now);
+    this->TestGate->handleFrame(Link, makeCallFrame(std::move(Data)),
+                                this->Now);
   }
-  /// Bodies have taken 100 ms each.
-  void slowLink() {
+  /// Lets the gate measure that bodies take 100 ms each.
+  void makeLinkSlow() {
     for (uint64_t Seq = 90; Seq < 95; ++Seq) {
       this->openUpload(Seq);
       this->Now += Millis(100);
-      this->body(Seq, 0, 20000, /*End=*/true);
+      this->sendBody(Seq, 0, 20000, /*End=*/true);
       ResponseHead Head;
       Head.Status = 200;
       Head.Length = 0;
-      this->At->upstreamHead({7, Seq}, Head, this->Now);
+      this->TestGate->upstreamHead({7, Seq}, Head, this->Now);
     }
-    this->Started.clear();
-    this->Sent.clear();
+    this->StartedCalls.clear();
+    this->SentFrames.clear();
   }
-  /// The calls whose bodies were asked for, in that order.
-  std::vector<uint64_t> asked() const {
-    std::vector<uint64_t> Out;
-    for (const wire::CallFrameT &Frame : this->Sent)
-      if (const auto *Go = Frame.payload.AsAdmitted())
-        Out.push_back(Go->seq);
-    return Out;
+  /// The calls whose bodies the gate has requested, in this order.
+  std::vector<uint64_t> requestedBodies() const {
+    std::vector<uint64_t> Requested;
+    for (const wire::CallFrameT &Frame : this->SentFrames)
+      if (const auto *Admitted = Frame.payload.AsAdmitted())
+        Requested.push_back(Admitted->seq);
+    return Requested;
   }
 
   GateFixture() {
     Gate::Options Opts;
     Opts.Self = "me";
     Opts.Service = "a";
-    Opts.Names.NotRun = "Not-Run";
-    Opts.Names.ExpectedUpstream = "Expect-Upstream";
-    Opts.Names.Budget = "Budget";
+    Opts.HeaderNames.NotRun = "Not-Run";
+    Opts.HeaderNames.ExpectedUpstream = "Expect-Upstream";
+    Opts.HeaderNames.Budget = "Budget";
     Gate::Hooks Hooks;
     Hooks.Send = [this](Gate::LinkId, wire::CallFrameT Frame) {
-      this->Sent.push_back(std::move(Frame));
+      this->SentFrames.push_back(std::move(Frame));
     };
     Hooks.Start = [this](const CallId &Id, const RequestHead &Head, bool) {
-      this->Started.emplace_back(Id, Head);
-      if (this->Sends)
-        this->At->upstreamSent(Id, this->Now);
+      this->StartedCalls.emplace_back(Id, Head);
+      if (this->SendsAtOnce)
+        this->TestGate->requestSent(Id, this->Now);
     };
     Hooks.Body = [](const CallId &, std::string_view) {};
     Hooks.BodyEnd = [](const CallId &) {};
-    Hooks.Cancel = [this](const CallId &Id) { this->Cancelled.push_back(Id); };
+    Hooks.Cancel = [this](const CallId &Id) {
+      this->CancelledCalls.push_back(Id);
+    };
     Hooks.PauseAnswer = [](const CallId &, bool) {};
-    Hooks.Judge = [this](const Fingerprint &, TimePoint) {
-      return this->Known;
+    Hooks.CheckQuarantine = [this](const Fingerprint &, TimePoint) {
+      return this->QuarantineDecision;
     };
-    Hooks.RanWell = [this](const Fingerprint &Of, TimePoint) {
-      this->RanWell.push_back(Of);
+    Hooks.RequestAnswered = [this](const Fingerprint &Answered, TimePoint) {
+      this->AnsweredRequests.push_back(Answered);
     };
-    Hooks.Crashed =
+    Hooks.UpstreamCrashed =
         [this](const std::vector<Quarantine::RunningRequest> &Running,
-               TimePoint) { this->Crashes.push_back(Running); };
-    Hooks.Probe = [this] { ++this->Probes; };
-    Hooks.AskHealth = [this](const std::string &Path) {
-      this->AskedHealth.push_back(Path);
+               TimePoint) { this->ReportedCrashes.push_back(Running); };
+    Hooks.Probe = [this] { ++this->ProbeCount; };
+    Hooks.QueryHealth = [this](const std::string &Path) {
+      this->HealthQueries.push_back(Path);
     };
-    this->At = std::make_unique<Gate>(Opts, Hooks);
+    this->TestGate = std::make_unique<Gate>(Opts, Hooks);
     this->configure(GateRecords);
-    this->At->linkUp(Link, this->Now);
+    this->TestGate->linkUp(Link, this->Now);
     wire::CallHelloT Hello;
     Hello.incarnation = 7;
-    this->At->frame(Link, makeCallFrame(std::move(Hello)), this->Now);
+    this->TestGate->handleFrame(Link, makeCallFrame(std::move(Hello)),
+                                this->Now);
   }
 
   void configure(const std::string &Records) {
     FaultList Faults;
-    this->At->configure(
+    this->TestGate->configure(
         compileConfig(
             *Document::make(1, 1, *readRecordFile(Records, "f", Faults)),
             CompileOptions())
@@ -140,14 +147,14 @@
   }
 
   void listSlots(uint32_t Slots) {
-    Instance Own;
-    Own.Name = "me";
-    Own.Service = "a";
-    Own.Slots = Slots;
-    this->At->members({&Own}, this->Now);
+    Instance Self;
+    Self.Name = "me";
+    Self.Service = "a";
+    Self.Slots = Slots;
+    this->TestGate->membersChanged({&Self}, this->Now);
   }
 
-  wire::OpenT openOf(uint64_t Seq) const {
+  wire::OpenT makeOpen(uint64_t Seq) const {
     wire::OpenT Open;
     Open.seq = Seq;
     Open.entry = 7;
@@ -160,22 +167,24 @@
     Open.upstream = "up-1";
     return Open;
   }
-  void open(wire::OpenT Open) {
-    this->At->frame(Link, makeCallFrame(std::move(Open)), this->Now);
+  void sendOpen(wire::OpenT Open) {
+    this->TestGate->handleFrame(Link, makeCallFrame(std::move(Open)),
+                                this->Now);
   }
 
-  /// The last frame about a call that failed; null if there is none.
-  const wire::FailedT *failed() const {
+  /// The last Failed frame that the gate sent; null if there is none.
+  const wire::FailedT *lastFailed() const {
     const wire::FailedT *Last = nullptr;
-    for (const wire::CallFrameT &One : this->Sent)
-      if (const auto *Failed = One.payload.AsFailed())
+    for (const wire::CallFrameT &Frame : this->SentFrames)
+      if (const auto *Failed = Frame.payload.AsFailed())
         Last = Failed;
     return Last;
   }
-  size_t admitted() const {
+  /// Number of Admitted frames that the gate sent.
+  size_t admittedCount() const {
     size_t Count = 0;
-    for (const wire::CallFrameT &One : this->Sent)
-      Count += One.payload.AsAdmitted() != nullptr;
+    for (const wire::CallFrameT &Frame : this->SentFrames)
+      Count += Frame.payload.AsAdmitted() != nullptr;
     return Count;
   }
 };
--- a/src/calls/GateLinks.cpp
+++ b/src/calls/GateLinks.cpp
@@ -1,7 +1,7 @@
 #include "calls/Gate.h"
 
-// The links to entries: what is said on them, and what becomes of their calls
-// when one is lost.
+// The links to entries: the frames sent over them, and what happens to the
+// calls of a link that is lost.
 
 namespace hickorylift {
 
@@ -11,91 +11,95 @@
   Hello.node = this->Opts.Self;
   Hello.incarnation = this->Opts.Incarnation;
   this->Hook.Send(Link, makeCallFrame(std::move(Hello)));
-  if (this->Gone)
+  if (this->UpstreamGone)
     this->sendPong(Link, /*Nonce=*/0, Now);
   if (!this->draining())
     return;
-  wire::DrainingT Said;
-  Said.by = this->drainedBy();
-  this->Hook.Send(Link, makeCallFrame(std::move(Said)));
+  wire::DrainingT Notice;
+  Notice.by = this->drainReasons();
+  this->Hook.Send(Link, makeCallFrame(std::move(Notice)));
 }
 
-// The calls of a lost link go on: the entry may find them again over another.
-// Those that only wait are let go, for nobody could be told of their turn.
+// Running calls of a lost link continue, because the entry may resume them over
+// a new link. Calls that have not started are refused, because the entry could
+// not be notified when they get a slot.
 void Gate::linkDown(LinkId Link, TimePoint Now) {
   this->Links.erase(Link);
-  this->Entries.erase(Link);
-  for (auto &[Id, One] : this->Calls) {
-    if (!One.Linked || One.Link != Link)
+  this->EntryByLink.erase(Link);
+  for (auto &[Id, Call] : this->Calls) {
+    if (!Call.Linked || Call.Link != Link)
       continue;
-    One.Linked = false;
-    if (One.Now == State::Running && One.Idempotent)
-      this->Unlinked.emplace(Id, Now);
-    if (One.isUnseen())
-      this->refuse(Id, One,
+    Call.Linked = false;
+    if (Call.Phase == State::Running && Call.Idempotent)
+      this->LinkLostAt.emplace(Id, Now);
+    if (Call.isUnstarted())
+      this->refuse(Id, Call,
                    makeRefusal(Outcome::NotRun, "link-lost", StepAdmission,
                                this->Opts.Self),
                    Now);
   }
-  this->pump(Now);
+  this->advanceQueue(Now);
 }
 
-CallId Gate::idOn(LinkId Link, uint64_t Seq) const {
-  auto Found = this->Entries.find(Link);
-  return {Found == this->Entries.end() ? 0 : Found->second, Seq};
+CallId Gate::callIdOn(LinkId Link, uint64_t Seq) const {
+  auto Found = this->EntryByLink.find(Link);
+  return {Found == this->EntryByLink.end() ? 0 : Found->second, Seq};
 }
 
-void Gate::sendHead(const CallId &Id, const Call &One, TimePoint Now) {
-  if (!One.Linked)
+void Gate::sendHead(const CallId &Id, const CallRecord &Call, TimePoint Now) {
+  if (!Call.Linked)
     return;
   wire::HeadT Head;
   Head.seq = Id.Seq;
-  Head.status = One.Answer.Status;
-  Head.reason = One.Answer.Reason;
-  Head.headers = toWire(One.Answer.Headers);
-  Head.length = One.Answer.Length;
+  Head.status = Call.AnswerHead.Status;
+  Head.reason = Call.AnswerHead.Reason;
+  Head.headers = toWire(Call.AnswerHead.Headers);
+  Head.length = Call.AnswerHead.Length;
   Head.load = std::make_unique<wire::Load>(this->load(Now));
   Head.ran_us = static_cast<uint32_t>(
-      std::chrono::duration_cast<Micros>(One.AnsweredAt - One.StartedAt)
+      std::chrono::duration_cast<Micros>(Call.AnsweredAt - Call.StartedAt)
           .count());
   Head.waited_us = static_cast<uint32_t>(
-      std::chrono::duration_cast<Micros>(One.StartedAt - One.CameAt).count());
-  this->Hook.Send(One.Link, makeCallFrame(std::move(Head)));
+      std::chrono::duration_cast<Micros>(Call.StartedAt - Call.ArrivedAt)
+          .count());
+  this->Hook.Send(Call.Link, makeCallFrame(std::move(Head)));
 }
 
-void Gate::sendAnswer(const CallId &Id, Call &One) {
-  if (!One.Linked)
+void Gate::sendAnswer(const CallId &Id, CallRecord &Call) {
+  if (!Call.Linked)
     return;
-  while (auto Piece = One.Response.nextPiece(this->Opts.PieceBytes)) {
+  while (auto Piece = Call.AnswerBody.nextPiece(this->Opts.MaxPieceBytes)) {
     wire::DataT Data;
     Data.seq = Id.Seq;
     Data.offset = Piece->Offset;
     Data.bytes.assign(Piece->Bytes.begin(), Piece->Bytes.end());
     Data.end = Piece->End;
-    this->Hook.Send(One.Link, makeCallFrame(std::move(Data)));
+    this->Hook.Send(Call.Link, makeCallFrame(std::move(Data)));
   }
 }
 
-void Gate::sendFailed(const CallId &Id, const Call &One, TimePoint Now) {
-  if (!One.Linked)
+void Gate::sendFailed(const CallId &Id, const CallRecord &Call, TimePoint Now) {
+  if (!Call.Linked)
     return;
   wire::FailedT Failed;
   Failed.seq = Id.Seq;
-  Failed.outcome = One.Why.CallOutcome == Outcome::NotRun
+  Failed.outcome = Call.RefusalDetails.CallOutcome == Outcome::NotRun
                        ? wire::Outcome::NotRun
                        : wire::Outcome::Unknown;
-  Failed.reason = One.Why.Reason;
-  Failed.step = One.Why.Step;
-  Failed.peer = One.Why.Peer;
-  Failed.retry_after_ms = static_cast<uint32_t>(One.Why.RetryAfter.count());
-  Failed.status = One.Why.Status;
+  Failed.reason = Call.RefusalDetails.Reason;
+  Failed.step = Call.RefusalDetails.Step;
+  Failed.peer = Call.RefusalDetails.Peer;
+  Failed.retry_after_ms =
+      static_cast<uint32_t>(Call.RefusalDetails.RetryAfter.count());
+  Failed.status = Call.RefusalDetails.Status;
   Failed.room_in_ms = static_cast<uint32_t>(
-      toMillis(this->Slots.coldStart().timeUntilCapacity(Now)).count());
+      toMillis(this->AdmissionControl.coldStart().timeUntilCapacity(Now))
+          .count());
   Failed.load = std::make_unique<wire::Load>(this->load(Now));
-  this->Hook.Send(One.Link, makeCallFrame(std::move(Failed)));
+  this->Hook.Send(Call.Link, makeCallFrame(std::move(Failed)));
 }
 
-void Gate::tellLinks(TimePoint Now) {
+void Gate::announceState(TimePoint Now) {
   for (const auto &[Link, State] : this->Links)
     this->sendPong(Link, /*Nonce=*/0, Now);
 }
@@ -105,26 +109,27 @@
   Pong.nonce = Nonce;
   Pong.load = std::make_unique<wire::Load>(this->load(Now));
   Pong.draining = this->draining();
-  Pong.gone = this->Gone;
+  Pong.gone = this->UpstreamGone;
   this->Hook.Send(Link, makeCallFrame(std::move(Pong)));
 }
 
-// The process at the other end has died, or the way to it is cut: its caller
-// has no connection any more either, and the work would be for nobody.
-void Gate::endOrphans(TimePoint Now) {
-  for (auto At = this->Unlinked.begin(); At != this->Unlinked.end();) {
-    if (Now - At->second < this->Opts.OrphanGrace) {
-      ++At;
+// Aborts idempotent calls that no entry has resumed within AbandonedGrace of
+// the loss of their link. The entry's process has died or cannot be reached, so
+// the caller has lost its connection too and cannot receive the answer.
+void Gate::abortAbandonedCalls(TimePoint Now) {
+  for (auto Lost = this->LinkLostAt.begin(); Lost != this->LinkLostAt.end();) {
+    if (Now - Lost->second < this->Opts.AbandonedGrace) {
+      ++Lost;
       continue;
     }
-    CallId Id = At->first;
-    At = this->Unlinked.erase(At);
-    Call *One = this->find(Id);
-    if (One && One->Now == State::Running && !One->Linked)
-      this->breakOff(Id, *One,
-                     makeRefusal(Outcome::Unknown, "entry-lost", StepUpstream,
-                                 this->Opts.Self),
-                     Now);
+    CallId Id = Lost->first;
+    Lost = this->LinkLostAt.erase(Lost);
+    CallRecord *Call = this->findCall(Id);
+    if (Call && Call->Phase == State::Running && !Call->Linked)
+      this->abortCall(Id, *Call,
+                      makeRefusal(Outcome::Unknown, "entry-lost", StepUpstream,
+                                  this->Opts.Self),
+                      Now);
   }
 }
 
--- a/src/settings/Settings.cpp
+++ b/src/settings/Settings.cpp
@@ -206,7 +206,7 @@
     Entry::Options &To = this->Out.Core.CallEntry;
     To.ReadAheadBytes = static_cast<uint64_t>(
         Calls.integer("window_bytes", To.ReadAheadBytes, 4096, 64 << 20));
-    this->Out.Core.CallGate.Window = To.ReadAheadBytes;
+    this->Out.Core.CallGate.BodyWindowBytes = To.ReadAheadBytes;
     To.BodyWindowBytes = static_cast<uint64_t>(
         Calls.integer("body_window_bytes", To.BodyWindowBytes, 8192, 64 << 20));
     // Whatever is gathered is also held to be sent again, and a caller is not
@@ -230,11 +230,12 @@
         Calls.millis("silence_ms", To.LivenessTimeout.count(), 20, 60000);
     To.SearchTimeout =
         Calls.millis("find_again_ms", To.SearchTimeout.count(), 0, 60000);
-    this->Out.Core.CallGate.RememberSlack = Calls.millis(
-        "remember_ms", this->Out.Core.CallGate.RememberSlack.count(), 0, MaxMs);
+    this->Out.Core.CallGate.RetainAfterDeadline = Calls.millis(
+        "remember_ms", this->Out.Core.CallGate.RetainAfterDeadline.count(), 0,
+        MaxMs);
     if (To.LivenessTimeout < To.PingInterval)
       Calls.fault("silence_ms", "expected at least ping_ms");
-    if (this->Out.Core.CallGate.RememberSlack < To.SearchTimeout)
+    if (this->Out.Core.CallGate.RetainAfterDeadline < To.SearchTimeout)
       Calls.fault("remember_ms",
                   "expected at least find_again_ms: a gate that forgets "
                   "sooner would call a call that ran not run");
@@ -243,7 +244,7 @@
 
   void readKeys(JsonObject &Top) {
     JsonObject Keys = this->section(Top, "keys");
-    IdempotencyChecker::Options &To = this->Out.Core.CallGate.Keys;
+    IdempotencyChecker::Options &To = this->Out.Core.CallGate.IdempotencyOpts;
     To.MaxListAge =
         Keys.millis("max_list_age_ms", To.MaxListAge.count(), 1000, MaxMs);
     To.MaxKeys =
@@ -283,7 +284,8 @@
 
   void readColdStart(JsonObject &Top) {
     JsonObject Section = this->section(Top, "cold_start");
-    ColdStartLimiter::Options &To = this->Out.Core.CallGate.Slots.ColdStartOpts;
+    ColdStartLimiter::Options &To =
+        this->Out.Core.CallGate.AdmissionOpts.ColdStartOpts;
     To.RateFactor = Section.number("overrun", To.RateFactor, 1, MostOverrun);
     To.ExtraCalls = Section.number("slack", To.ExtraCalls, 0, MostSlack);
     Section.finish();
