--- a/src/gate/Admission.cpp
+++ b/src/gate/Admission.cpp
@@ -23,7 +23,7 @@
 // meet their targets: at 1.5 times the capacity, 6 in 1,000 calls of the long
 // route were served, and 936 in 1,000 with this order. When capacity is short,
 // a run that makes several calls is lost when any of them is refused, so calls
-// from some nodes are put slightly behind others, see TurnRank.
+// from some nodes are put slightly behind others, see NodeRank.
 //
 // The number of slots is the configured one, lowered while the upstream warms
 // up and while it sheds. A shed multiplies it by a factor below one, and each
--- a/src/gate/Admission.h
+++ b/src/gate/Admission.h
@@ -85,7 +85,7 @@
     /// Groups calls that take about the same time; the mean run time is
     /// recorded for each kind.
     std::string Kind;
-    /// Rank of the node at which the call entered, see TurnRank: 0 goes first.
+    /// Rank of the node at which the call entered, see NodeRank: 0 goes first.
     uint8_t Rank = 0;
     /// The limit of the call's route; null if it has none.
     const Limit *RouteLimit = nullptr;
