--- a/src/gate/ColdStartLimiter.cpp
+++ b/src/gate/ColdStartLimiter.cpp
@@ -40,8 +40,8 @@
 }
 
 // After a power failure the node and its upstream start together, so no
-// previous process can have sent the upstream anything. Without this check the
-// callers would find no capacity for another second.
+// previous node process can have sent the upstream anything. Without this check
+// the callers would find no capacity for another second.
 void ColdStartLimiter::checkUpstreamAge(Millis ColdLeft, TimePoint Now) {
   TimePoint StartedAt = Now - (this->Warmup - std::min(ColdLeft, this->Warmup));
   this->HistoryComplete |=
--- a/src/gate/ColdStartLimiter.h
+++ b/src/gate/ColdStartLimiter.h
@@ -65,8 +65,8 @@
   /// state of the upstream is unconfirmed.
   void configure(double CallsPerSecond, Millis WarmupTime, TimePoint Now);
   /// From now on every request that is sent is counted. How much a previous
-  /// process sent to the same upstream just before isn't known; it may have
-  /// been as much as the upstream can handle.
+  /// node process sent to the same upstream just before isn't known; it may
+  /// have been as much as the upstream can handle.
   void startCounting(TimePoint Now);
   /// The upstream may have restarted, or have become cold again. It counts as
   /// cold for a whole warm-up time, or until it reports otherwise.
@@ -123,8 +123,8 @@
   // Times of the requests sent, the oldest first.
   std::deque<TimePoint> SentTimes;
   std::optional<TimePoint> CountingSince;
-  // Whether the upstream started so recently that no previous process can have
-  // sent it anything.
+  // Whether the upstream started so recently that no previous node process can
+  // have sent it anything.
   bool HistoryComplete = false;
   size_t Reserved = 0;
   std::set<std::string> KnownUpstreams;
--- a/src/gate/ColdStartLimiterTest.cpp
+++ b/src/gate/ColdStartLimiterTest.cpp
@@ -146,8 +146,8 @@
   BOOST_TEST(!Limiter.shouldQuery(at(2000)));
 }
 
-// Guards against a process that is killed and restarted at once, and sends its
-// cold upstream as much as the previous process has just sent.
+// Guards against a node process that is killed and restarted at once, and sends
+// its cold upstream as much as the previous process has just sent.
 BOOST_AUTO_TEST_CASE(RequestsOfThePreviousProcessAreAssumed) {
   ColdStartLimiter Limiter(options());
   Limiter.startCounting(Start);
--- a/src/gate/LoadTest.cpp
+++ b/src/gate/LoadTest.cpp
@@ -7,7 +7,8 @@
 
 #include <map>
 
-// Simulated loads at one upstream: what happens to the calls of each kind.
+// Loads at one upstream, simulated without real time: what happens to the calls
+// of each kind.
 
 namespace hickorylift {
 
@@ -235,7 +236,7 @@
 // same priority, arrive at 1.5 times the rate that an upstream with nine slots
 // can run. In order of targets, each short call that arrived later overtook the
 // long one until that could no longer meet its target: 6 in 1,000 long calls
-// were served, and 7 in 10 short ones.
+// were served and the others refused, while 7 in 10 short ones were answered.
 BOOST_AUTO_TEST_CASE(LongCallsAreNotStarvedByShortCalls) {
   LoadSimulator Simulator(
       {{"upload", 26, Millis(140), Millis(500), Millis(1200)},
--- a/src/routing/LoadBalancer.cpp
+++ b/src/routing/LoadBalancer.cpp
@@ -264,8 +264,8 @@
              static_cast<double>(Call.BodyBytes) / Kilobyte;
 }
 
-// Microseconds until the answer, network time excluded, if the call were sent
-// to the gate now.
+// Microseconds until the answer if the call were sent to the gate now,
+// including the cost of failures, but not the network time.
 double LoadBalancer::expectedTime(const Instance &Gate, const GateState &State,
                                   double BestFactor, const CallInfo &Call,
                                   TimePoint Now) const {
--- a/src/routing/LoadBalancerTest.cpp
+++ b/src/routing/LoadBalancerTest.cpp
@@ -384,7 +384,7 @@
 }
 
 // An upstream drains, ends, and starts again under its old name. Calls must
-// reach the new process at once, as the drain mark of the old one is not its.
+// reach the new process at once: the drain mark belongs to the old one.
 BOOST_DATA_TEST_CASE(NewUpstreamStartClearsRecordedState,
                      data::make(ListedAgainRows), Row) {
   std::vector<Instance> Gates(1);
