--- a/src/routing/LoadBalancer.h
+++ b/src/routing/LoadBalancer.h
@@ -172,9 +172,9 @@
   /// its slots is likely to be free, and at least for RetryAfter, the time for
   /// which the gate itself expects none.
   void recordRefusal(const std::string &Gate, Millis RetryAfter, TimePoint Now);
-  /// The gate accepts no new calls. It is left out until it announces that it
-  /// accepts calls again, see clearDraining(), or until updateInstance() or
-  /// retainOnly() removes the mark.
+  /// The gate accepts no new calls. It is left out until an answer of it shows
+  /// that it accepts calls again, see clearDraining(), or until
+  /// updateInstance() or retainOnly() removes the mark.
   void markDraining(const std::string &Gate);
   void clearDraining(const std::string &Gate);
   /// The gate's address does not answer, or another process than the expected
