--- a/src/control/ControlPlane.cpp
+++ b/src/control/ControlPlane.cpp
@@ -6,8 +6,8 @@
 
 // Connects Spreader, Membership, FleetView, Quarantine and the document source
 // of one node through their hooks. Each tick derives the node's read duty with
-// planReading(), so exactly the nodes that cannot get documents from their
-// neighbours read the platform. A received document is activated only if it
+// planReading(): the readers read the platform, and so do nodes that cannot get
+// documents from their neighbours. A received document is activated only if it
 // compiles; otherwise the active one stays. Link management is in
 // ControlLinks.cpp.
 
--- a/src/control/ControlPlane.h
+++ b/src/control/ControlPlane.h
@@ -95,8 +95,9 @@
     /// which a version must arrive, as the former parent may be disconnected as
     /// well.
     Millis FormerParentTimeout{700};
-    /// Maximum number of open links. Further links that peers dial are closed
-    /// at the handshake, and the peer redials later.
+    /// Maximum number of open links at which a link dialled by a peer is still
+    /// accepted. Further ones are closed at the handshake, and the peer redials
+    /// later. Links that this node dials count, but are not refused.
     size_t MaxLinks = 256;
     /// Fleet reports older than this are left out of the counts.
     Millis MaxReportAge{15000};
@@ -108,8 +109,8 @@
     /// Options of the components that ControlPlane contains.
     Membership::Options Members;
     Spreader::Options Spread;
-    /// Options of Reader. Its WatchWait (how long one watch may wait) is used
-    /// with every kind of document source.
+    /// Options of PlatformReader. Its WatchWait (how long one watch may wait)
+    /// is used with every kind of document source.
     PlatformReader::Options Read;
     CompileOptions Compile;
     /// Options of the quarantine for requests that crash upstreams. NodeCore
--- a/src/control/ReadPlan.cpp
+++ b/src/control/ReadPlan.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // If a node has its lists but no version after this many times PeerWaitTime,
-// its neighbours do not have a version either.
+// its neighbours cannot send it one, and it reads the platform once.
 constexpr int VersionWaitFactor = 3;
 
 ReadPlan planStart(const ReadSituation &Situation) {
--- a/src/spread/Frames.h
+++ b/src/spread/Frames.h
@@ -7,8 +7,7 @@
 #include <memory>
 
 // Conversions between Spreader's stamps and payloads and the frames on the
-// wire. For the sources and tests of this folder and for tests that build
-// frames.
+// wire. For the sources of this folder and for tests that build frames.
 //
 //   this->Hook.Send(To, makeFrame(std::move(Announce)));
 
--- a/src/spread/Repair.cpp
+++ b/src/spread/Repair.cpp
@@ -18,8 +18,11 @@
   if (!this->Opts.Guards.RepairByStamps)
     return;
   if (Reported > Ours) {
-    // Neighbours do not push a document to a node that has never had a version
-    // of it, so there is no push to wait for.
+    // Without a version there is no delay. Neighbours push a document only when
+    // they store it. One that they stored before this node was linked, as
+    // usual for a node that has just started, is never pushed, so there is
+    // nothing to wait for. One that is stored after that is pushed as a
+    // snapshot over eager links, and may then arrive twice.
     Millis Delay = State.Stored ? this->Opts.GraftDelay : Millis(0);
     this->schedulePull(From, Name, Now + Delay);
     if (!State.Stored)
--- a/src/spread/Spreader.cpp
+++ b/src/spread/Spreader.cpp
@@ -426,7 +426,8 @@
       return;
     State.NextPullAt =
         Now + Millis(Busy->retry_after_ms + this->Random() % 200);
-    // Another neighbour that has the document may be asked sooner.
+    // Another neighbour that announces the document may be asked sooner:
+    // schedulePull() brings forward only a pull that is not marked as sent.
     State.PullSent = false;
   }
 }
--- a/src/spread/Spreader.h
+++ b/src/spread/Spreader.h
@@ -42,8 +42,9 @@
     /// stamps and ages of all stored documents. A longer interval costs fewer
     /// bytes but repairs a lost push later.
     Millis HeartbeatInterval{2000};
-    /// Graft: pull a document that a lazy link announced. The node first waits
-    /// this long for the document to be pushed over another link.
+    /// Graft: pull a newer document that a neighbour announced. The node first
+    /// waits this long for the document to be pushed over another link. A node
+    /// that has no version of the document pulls at once.
     Millis GraftDelay{60};
     /// How long a pull may stay unanswered before another link is asked.
     Millis PullTimeout{1000};
