--- a/src/control/ControlPlane.cpp
+++ b/src/control/ControlPlane.cpp
@@ -167,8 +167,9 @@
                     std::to_string(toMillis(Now - *this->LastTick).count()) +
                         "ms",
                     "clock", "resynchronising");
-    // Stop reading for one tick: what the platform answered before the process
-    // pause is of unknown age.
+    // What the platform answered before the process pause is of unknown age.
+    // Without a duty the source abandons the request in progress; it gets its
+    // duty back below and asks again.
     this->Source->tick(Now, ReadDuty::None);
   }
   this->LastTick = Now;
@@ -407,7 +408,8 @@
     this->scheduleReport(Now);
     return false;
   }
-  // The links to seeds are closed once there is a version.
+  // Once there is a version, the links to seeds are closed, unless the node has
+  // no other peer to link to.
   this->NeedsRetarget |= !this->ActiveConfig;
   this->ActiveConfig = Compiled.Compiled;
   this->ActiveConfigSource = Received.Source;
--- a/src/control/ControlPlane.h
+++ b/src/control/ControlPlane.h
@@ -95,9 +95,9 @@
     /// which a version must arrive, as the former parent may be disconnected as
     /// well.
     Millis FormerParentTimeout{700};
-    /// Maximum number of open links at which a link dialled by a peer is still
-    /// accepted. Further ones are closed at the handshake, and the peer redials
-    /// later. Links that this node dials count, but are not refused.
+    /// Once this many links are open, further links that peers dial are closed
+    /// at the handshake, and the peer redials later. Links that this node dials
+    /// are counted, but never refused.
     size_t MaxLinks = 256;
     /// Fleet reports older than this are left out of the counts.
     Millis MaxReportAge{15000};
--- a/src/spread/Repair.cpp
+++ b/src/spread/Repair.cpp
@@ -22,7 +22,7 @@
     // they store it. One that they stored before this node was linked, as
     // usual for a node that has just started, is never pushed, so there is
     // nothing to wait for. One that is stored after that is pushed as a
-    // snapshot over eager links, and may then arrive twice.
+    // snapshot over eager links, and may arrive twice because of the pull.
     Millis Delay = State.Stored ? this->Opts.GraftDelay : Millis(0);
     this->schedulePull(From, Name, Now + Delay);
     if (!State.Stored)
