--- a/src/reading/KeyValueStore.h
+++ b/src/reading/KeyValueStore.h
@@ -23,8 +23,9 @@
 struct StoredItem {
   std::string Key;
   std::string Value;
-  /// Revision of the last change.
+  /// Revision of the item's last change.
   uint64_t Revision = 0;
+  /// Revision of the item's creation.
   uint64_t CreatedRevision = 0;
 };
 
--- a/src/reading/PlatformReader.cpp
+++ b/src/reading/PlatformReader.cpp
@@ -9,10 +9,10 @@
 // Runs these steps one after the other: read the lists, read the manifest and,
 // if necessary, the contents that it refers to, read the records that are
 // missing, then wait in a single watch until any of these keys changes, and
-// read what changed. Contents refer to records by the hash of their bytes, and
-// each record is stored under its hash. A read that overlaps with an update
-// therefore gets either the right bytes or an error, and never mixes two
-// versions.
+// read what changed. Manifests refer to contents and contents to records by the
+// hash of their bytes, and both are stored under their hash. A read that
+// overlaps with an update therefore gets either the right bytes or an error,
+// and never mixes two versions.
 
 namespace hickorylift {
 
@@ -295,7 +295,7 @@
 }
 
 // Skips a value that can't be parsed. It stays invalid until another one is
-// published, so reading it again would be useless; the watch reports the
+// published, so reading it again would only use up reads; the watch reports the
 // change.
 void PlatformReader::skipInvalidValue(uint64_t Revision, const Error &Why,
                                       TimePoint Now) {
--- a/src/reading/StoreReader.cpp
+++ b/src/reading/StoreReader.cpp
@@ -29,10 +29,10 @@
 //
 // While the store is unreachable, entries cannot be renewed, and those of
 // living instances expire. So after its return, missing instances stay on the
-// list until they have had time to renew; removing them at once would empty the
-// fleet. Those still missing then are removed. A restored store may also lack
-// drains and evacuations until they are written again, so these are kept for
-// the same time. Versions are never held back.
+// list until they have had time to renew their entries; removing them at once
+// would leave callers without upstreams. Those still missing then are removed.
+// A restored store may also lack drains and evacuations until they are written
+// again, so these are kept for the same time. Versions are never held back.
 
 namespace hickorylift {
 
