--- a/src/reading/PlatformReader.cpp
+++ b/src/reading/PlatformReader.cpp
@@ -154,8 +154,9 @@
     this->PendingLists.insert(listTopic(Name));
 }
 
-// A change of a list costs one read, whichever node watches. So a spare reader
-// watches like any other, and ListForOthers is the same as List.
+// With this platform, a change of a list costs one read whichever node watches,
+// so no duty is done less often than another: a spare reader watches like any
+// other, and ListForOthers is handled like List.
 void PlatformReader::tick(TimePoint Now, Duty NewDuty) {
   if (NewDuty == Duty::Spare)
     NewDuty = Duty::Watch;
