--- a/bench/Policies.cpp
+++ b/bench/Policies.cpp
@@ -53,7 +53,7 @@
   World::Options Opts;
   Opts.Seed = 7;
   Opts.Guards.DropLate = Of.DropLate;
-  Opts.Node.CallEntry.ChooserOptions.SelectionPolicy = Of.Choose;
+  Opts.Node.CallEntry.BalancerOptions.SelectionPolicy = Of.Choose;
   World All(Opts);
   for (unsigned I = 0; I < Entries; ++I)
     All.addNode("a-" + std::to_string(I), "north", "a");
--- a/src/calls/CallsTest.cpp
+++ b/src/calls/CallsTest.cpp
@@ -140,7 +140,7 @@
   BOOST_TEST(Decoded < 20000);
 }
 
-BOOST_AUTO_TEST_CASE(ChooserPrefersLocalUpstreamThenLocalDataCentre) {
+BOOST_AUTO_TEST_CASE(BalancerPrefersLocalUpstreamThenLocalDataCentre) {
   std::vector<Instance> All = gatesInTwoDataCentres();
   LoadBalancer WithLocalUpstream({}, "north", "n-2", 1);
   BOOST_TEST(WithLocalUpstream.pick(pointers(All), {}, Start)->Name == "n-2");
@@ -163,38 +163,37 @@
 BOOST_AUTO_TEST_CASE(LeavingAndDrainingGatesAreNotChosen) {
   std::vector<Instance> All = gatesInTwoDataCentres();
   All[0].Leaving = true;
-  LoadBalancer GateChooser({}, "north", "x-1", 1);
-  GateChooser.markDraining("n-2");
+  LoadBalancer Balancer({}, "north", "x-1", 1);
+  Balancer.markDraining("n-2");
   for (int I = 0; I < 50; ++I)
-    BOOST_TEST(GateChooser.pick(pointers(All), {}, Start)->Name == "n-3");
+    BOOST_TEST(Balancer.pick(pointers(All), {}, Start)->Name == "n-3");
 }
 
 // The network fails, and with it the calls to all gates. If all gates were
 // ejected, no call could be served once the network is back.
 BOOST_AUTO_TEST_CASE(NotAllGatesAreEjected) {
   std::vector<Instance> All = gatesInTwoDataCentres();
-  LoadBalancer GateChooser({}, "north", "x-1", 1);
+  LoadBalancer Balancer({}, "north", "x-1", 1);
   for (const Instance &Gate : All)
     for (int I = 0; I < 5; ++I) {
-      GateChooser.recordStart(Gate.Name);
-      GateChooser.recordEnd(Gate.Name, /*Answered=*/false, Millis(1), Start);
+      Balancer.recordStart(Gate.Name);
+      Balancer.recordEnd(Gate.Name, /*Answered=*/false, Millis(1), Start);
     }
-  BOOST_TEST(GateChooser.isEjected("n-1", Start));
-  BOOST_TEST(GateChooser.pick(pointers(All), {}, Start));
+  BOOST_TEST(Balancer.isEjected("n-1", Start));
+  BOOST_TEST(Balancer.pick(pointers(All), {}, Start));
 }
 
 BOOST_AUTO_TEST_CASE(FailingGateIsEjectedAndReadmitted) {
   std::vector<Instance> All = gatesInTwoDataCentres();
-  LoadBalancer GateChooser({}, "north", "x-1", 1);
+  LoadBalancer Balancer({}, "north", "x-1", 1);
   for (int I = 0; I < 3; ++I)
-    GateChooser.recordEnd("n-1", /*Answered=*/false, Millis(1), Start);
+    Balancer.recordEnd("n-1", /*Answered=*/false, Millis(1), Start);
   for (int I = 0; I < 50; ++I)
-    BOOST_TEST(GateChooser.pick(pointers(All), {}, Start)->Name != "n-1");
+    BOOST_TEST(Balancer.pick(pointers(All), {}, Start)->Name != "n-1");
   bool Readmitted = false;
   for (int I = 0; I < 50; ++I)
     Readmitted |=
-        GateChooser.pick(pointers(All), {}, Start + Millis(2001))->Name ==
-        "n-1";
+        Balancer.pick(pointers(All), {}, Start + Millis(2001))->Name == "n-1";
   BOOST_TEST(Readmitted);
 }
 
--- a/src/calls/Entry.cpp
+++ b/src/calls/Entry.cpp
@@ -46,21 +46,21 @@
          Cause.Reason.rfind(UpstreamReasonPrefix, 0) == 0;
 }
 
-LoadBalancer::CallInfo makeChooserWant(const RequestHead &Head,
-                                       const Route &MatchedRoute) {
-  LoadBalancer::CallInfo Want;
-  Want.BodyBytes = static_cast<uint64_t>(std::max<int64_t>(0, Head.Length));
-  Want.TargetLatency = MatchedRoute.TargetLatency;
-  Want.Route = MatchedRoute.Name;
-  return Want;
+LoadBalancer::CallInfo makeCallInfo(const RequestHead &Head,
+                                    const Route &MatchedRoute) {
+  LoadBalancer::CallInfo Result;
+  Result.BodyBytes = static_cast<uint64_t>(std::max<int64_t>(0, Head.Length));
+  Result.TargetLatency = MatchedRoute.TargetLatency;
+  Result.Route = MatchedRoute.Name;
+  return Result;
 }
 
 } // namespace
 
 Entry::Entry(Options GivenOpts, Hooks Hooks, const Membership &Fleet)
     : Opts(std::move(GivenOpts)), Hook(std::move(Hooks)), Fleet(Fleet),
-      GateChooser(this->Opts.ChooserOptions, this->Opts.DataCentre,
-                  this->Opts.Self, this->Opts.Seed),
+      Balancer(this->Opts.BalancerOptions, this->Opts.DataCentre,
+               this->Opts.Self, this->Opts.Seed),
       CallRank(this->Opts.RankOptions, this->Opts.Seed) {}
 
 Refusal Entry::refusal(Outcome CallOutcome, const std::string &Reason,
@@ -100,9 +100,9 @@
     for (const auto &[Name, Service] : this->ActiveConfig->services())
       for (const Instance *Gate : this->Fleet.upstreams(Name)) {
         Listed.insert(Gate->Name);
-        this->GateChooser.updateInstance(*Gate);
+        this->Balancer.updateInstance(*Gate);
       }
-  this->GateChooser.retainOnly(Listed);
+  this->Balancer.retainOnly(Listed);
 }
 
 // A call with an idempotency key goes only to the key's home, the gate that
@@ -117,9 +117,9 @@
   }
   if (Call.OnTrial)
     return this->trialGate(Call, Now);
-  return this->GateChooser.pick(
+  return this->Balancer.pick(
       this->Fleet.routableUpstreams(Call.TargetService->Name), Call.TriedGates,
-      Now, makeChooserWant(Call.Head, *Call.MatchedRoute));
+      Now, makeCallInfo(Call.Head, *Call.MatchedRoute));
 }
 
 // A request that is one crash short of quarantine, or whose quarantine term is
@@ -129,7 +129,7 @@
   std::vector<const Instance *> Open;
   for (const Instance *Gate :
        this->Fleet.routableUpstreams(Call.TargetService->Name))
-    if (this->GateChooser.isAvailable(*Gate, Now))
+    if (this->Balancer.isAvailable(*Gate, Now))
       Open.push_back(Gate);
   const Instance *Home = keyHome(Call.RequestFingerprint.text(), Open);
   return Home && Call.TriedGates.count(Home->Name) ? nullptr : Home;
@@ -166,8 +166,7 @@
   if (Call.LastRefusal)
     return this->giveUp(Caller, *Call.LastRefusal, Now);
   const auto &Open = this->Fleet.routableUpstreams(Call.TargetService->Name);
-  std::optional<Millis> NextFree =
-      this->GateChooser.shortestRetryAfter(Open, Now);
+  std::optional<Millis> NextFree = this->Balancer.shortestRetryAfter(Open, Now);
   bool Listed = !this->Fleet.upstreams(Call.TargetService->Name).empty();
   const char *Reason = !Listed        ? "no-upstream"
                        : Open.empty() ? "evacuated"
@@ -189,7 +188,7 @@
   // gate is never taken for this one.
   Call.Id = {this->Opts.Incarnation, ++this->LastSeq};
   this->CallerBySeq[Call.Id.Seq] = Caller;
-  this->GateChooser.recordStart(Gate.Name);
+  this->Balancer.recordStart(Gate.Name);
   GateLink &Link = this->Links[Gate.Name];
   // No call is left from an earlier loss of this link, so a new search gets its
   // full time.
@@ -319,7 +318,7 @@
                       TimePoint Now) {
   if (Call.Gate.empty())
     return;
-  this->GateChooser.recordEnd(Call.Gate, Answered, Now - Call.AssignedAt, Now);
+  this->Balancer.recordEnd(Call.Gate, Answered, Now - Call.AssignedAt, Now);
   GateLink &Link = this->Links[Call.Gate];
   Link.Calls.erase(Caller);
   Link.LastUsedAt = Now;
--- a/src/calls/Entry.h
+++ b/src/calls/Entry.h
@@ -127,7 +127,7 @@
     /// there is a new one; further ones run until their deadlines.
     size_t MaxAbandonedCalls = 1000;
     /// Options of the choice among gates.
-    LoadBalancer::Options ChooserOptions;
+    LoadBalancer::Options BalancerOptions;
     /// Options of the rank that this node's calls have at gates that lack
     /// capacity.
     NodeRank::Options RankOptions;
@@ -232,7 +232,7 @@
   void processPaused(TimePoint Now);
   void tick(TimePoint Now);
   const Counters &counters() const { return this->Counts; }
-  const LoadBalancer &chooser() const { return this->GateChooser; }
+  const LoadBalancer &balancer() const { return this->Balancer; }
 
 private:
   enum class State {
@@ -394,7 +394,7 @@
   Options Opts;
   Hooks Hook;
   const Membership &Fleet;
-  LoadBalancer GateChooser;
+  LoadBalancer Balancer;
   ConfigPtr ActiveConfig;
   std::map<CallerId, PendingCall> Calls;
   // When each call is to be given up; entries of ended calls are skipped.
--- a/src/calls/EntryAnswers.cpp
+++ b/src/calls/EntryAnswers.cpp
@@ -49,7 +49,7 @@
   if (const auto *Credit = Frame.payload.AsCredit())
     return this->onCredit(Gate, *Credit, Now);
   if (Frame.payload.AsDraining())
-    return this->GateChooser.markDraining(Gate);
+    return this->Balancer.markDraining(Gate);
   if (const auto *Pong = Frame.payload.AsPong())
     return this->onPong(Gate, Link, *Pong, Now);
   if (const auto *Ping = Frame.payload.AsPing()) {
@@ -62,13 +62,13 @@
 void Entry::onPong(const std::string &Gate, GateLink &Link,
                    const wire::PongT &Pong, TimePoint Now) {
   if (Pong.load)
-    this->GateChooser.recordLoad(Gate, *Pong.load, Now);
-  Pong.draining ? this->GateChooser.markDraining(Gate)
-                : this->GateChooser.clearDraining(Gate);
+    this->Balancer.recordLoad(Gate, *Pong.load, Now);
+  Pong.draining ? this->Balancer.markDraining(Gate)
+                : this->Balancer.clearDraining(Gate);
   if (Pong.gone)
-    this->GateChooser.markUnreachable(Gate, Now);
+    this->Balancer.markUnreachable(Gate, Now);
   else if (Link.UpstreamGone)
-    this->GateChooser.markReachable(Gate);
+    this->Balancer.markReachable(Gate);
   Link.UpstreamGone = Pong.gone;
 }
 
@@ -84,16 +84,16 @@
     return;
   auto Elapsed = std::chrono::duration_cast<Micros>(Now - Call.SentAt);
   if (LongBody)
-    return this->GateChooser.recordBodyTransfer(
+    return this->Balancer.recordBodyTransfer(
         Gate, std::max(Micros(0), Elapsed - Micros(Head.ran_us)), Now);
   Micros AtGate = Micros(Head.ran_us) + Micros(Head.waited_us);
-  this->GateChooser.recordRtt(Gate, std::max(Micros(0), Elapsed - AtGate), Now);
+  this->Balancer.recordRtt(Gate, std::max(Micros(0), Elapsed - AtGate), Now);
 }
 
 void Entry::onHead(const std::string &Gate, const wire::HeadT &Head,
                    TimePoint Now) {
   if (Head.load)
-    this->GateChooser.recordLoad(Gate, *Head.load, Now);
+    this->Balancer.recordLoad(Gate, *Head.load, Now);
   std::optional<CallerId> Caller = this->findCallAtGate(Gate, Head.seq);
   if (!Caller)
     return;
@@ -103,11 +103,11 @@
   Call.HaveHead = true;
   this->dropDetachedRun(Call);
   bool Failure = Head.status >= FirstServerError;
-  this->GateChooser.recordOutcome(Gate, Failure, Now);
+  this->Balancer.recordOutcome(Gate, Failure, Now);
   // The run time of a failure does not show how long an answer takes.
   if (!Failure && Head.ran_us > 0)
-    this->GateChooser.recordRunTime(Gate, Call.MatchedRoute->Name,
-                                    Micros(Head.ran_us), Now);
+    this->Balancer.recordRunTime(Gate, Call.MatchedRoute->Name,
+                                 Micros(Head.ran_us), Now);
   this->recordRoundTrip(Gate, Call, Head, Now);
   ResponseHead Answer;
   Answer.Status = Head.status;
@@ -150,7 +150,7 @@
 void Entry::onFailed(const std::string &Gate, const wire::FailedT &Failed,
                      TimePoint Now) {
   if (Failed.load)
-    this->GateChooser.recordLoad(Gate, *Failed.load, Now);
+    this->Balancer.recordLoad(Gate, *Failed.load, Now);
   Refusal Cause;
   Cause.CallOutcome = Failed.outcome == wire::Outcome::NotRun
                           ? Outcome::NotRun
@@ -161,16 +161,16 @@
   Cause.RetryAfter = Millis(Failed.retry_after_ms);
   Cause.Status = Failed.status;
   if (Cause.Reason == "draining")
-    this->GateChooser.markDraining(Gate);
+    this->Balancer.markDraining(Gate);
   // The membership list is out of date: another instance runs at that address
   // now.
   if (Cause.Reason == "not-my-service" || Cause.Reason == "upstream-replaced")
-    this->GateChooser.markUnreachable(Gate, Now);
+    this->Balancer.markUnreachable(Gate, Now);
   if (Cause.Reason == "overload")
-    this->GateChooser.recordRefusal(Gate, Millis(Failed.room_in_ms), Now);
+    this->Balancer.recordRefusal(Gate, Millis(Failed.room_in_ms), Now);
   if (Cause.Reason == UpstreamGone || Cause.Reason == UpstreamCrashed) {
     this->Links[Gate].UpstreamGone = true;
-    this->GateChooser.markUnreachable(Gate, Now);
+    this->Balancer.markUnreachable(Gate, Now);
   }
   // A detached run has ended. The call continues at its current gate.
   if (PendingCall *Call = this->findDetachedCall(Gate, Failed.seq)) {
--- a/src/calls/EntryLinks.cpp
+++ b/src/calls/EntryLinks.cpp
@@ -49,8 +49,8 @@
   Link.Incarnation = Hello.incarnation;
   Link.LostAt.reset();
   Link.NextPingAt = Now + this->Opts.PingInterval;
-  this->GateChooser.clearDraining(Gate);
-  this->GateChooser.markReachable(Gate);
+  this->Balancer.clearDraining(Gate);
+  this->Balancer.markReachable(Gate);
   this->settleAbandoned(Gate, Link, Now);
   for (CallerId Caller : std::set<CallerId>(Link.Calls)) {
     PendingCall *Found = this->findCall(Caller);
@@ -143,7 +143,7 @@
   Call.Id = Run.Id;
   Call.AssignedAt = Call.SentAt = Now;
   this->CallerBySeq[Call.Id.Seq] = Caller;
-  this->GateChooser.recordStart(Run.Gate);
+  this->Balancer.recordStart(Run.Gate);
   this->Links[Run.Gate].Calls.insert(Caller);
   ++this->Counts.Resumed;
   this->logEvent("call-resumed", Call, Refusal(), Now);
@@ -152,7 +152,7 @@
 void Entry::linkDown(const std::string &Gate, TimePoint Now) {
   GateLink &Link = this->Links[Gate];
   if (Link.ConnectingSince)
-    this->GateChooser.markUnreachable(Gate, Now);
+    this->Balancer.markUnreachable(Gate, Now);
   Link.Up = false;
   Link.ConnectingSince.reset();
   this->loseLink(Gate, Link, Now);
@@ -229,7 +229,7 @@
   Call.Id = Run.Id;
   Call.AssignedAt = Now;
   this->CallerBySeq[Call.Id.Seq] = Caller;
-  this->GateChooser.recordStart(Run.Gate);
+  this->Balancer.recordStart(Run.Gate);
   Link.Calls.insert(Caller);
   if (!Link.LostAt)
     Link.LostAt = Now;
@@ -242,7 +242,7 @@
                             TimePoint Now) {
   this->Hook.Close(Gate);
   if (Link.ConnectingSince)
-    this->GateChooser.markUnreachable(Gate, Now);
+    this->Balancer.markUnreachable(Gate, Now);
   Link.Up = false;
   Link.ConnectingSince.reset();
   this->loseLink(Gate, Link, Now);
@@ -313,7 +313,7 @@
 // were not sent yet go to another gate.
 void Entry::reassignWaitingCalls(const std::string &Gate, GateLink &Link,
                                  TimePoint Now) {
-  this->GateChooser.markUnreachable(Gate, Now);
+  this->Balancer.markUnreachable(Gate, Now);
   for (CallerId Caller : std::set<CallerId>(Link.Calls)) {
     PendingCall *Found = this->findCall(Caller);
     if (Found && Found->CurrentState == State::Connecting)
--- a/src/operator/OperatorServer.cpp
+++ b/src/operator/OperatorServer.cpp
@@ -238,7 +238,7 @@
     Row["data_centre"] = One->DataCentre;
     Row["leaving"] = One->Leaving;
     Row["ejected"] =
-        this->Of.core().entry().chooser().isEjected(One->Name, this->Of.now());
+        this->Of.core().entry().balancer().isEjected(One->Name, this->Of.now());
     Out["candidates"].append(Row);
   }
   if (Found.Chosen)
