--- a/src/calls/Entry.h
+++ b/src/calls/Entry.h
@@ -126,7 +126,7 @@
     /// Maximum number of abandoned calls of a lost link that are cancelled once
     /// there is a new one; further ones run until their deadlines.
     size_t MaxAbandonedCalls = 1000;
-    /// Options of the choice among gates.
+    /// Options of the load balancer, which chooses among gates.
     LoadBalancer::Options BalancerOptions;
     /// Options of the rank that this node's calls have at gates that lack
     /// capacity.
--- a/src/calls/EntryLinks.cpp
+++ b/src/calls/EntryLinks.cpp
@@ -129,8 +129,9 @@
     this->cancel(Run.Gate, Run.Id.Seq, "caller-gone");
 }
 
-// Moves the call back to its detached run, which is still in progress at the
-// first gate and began before any run that the call was offered for since.
+// Moves the call back to its detached run. The first gate has reported that the
+// run is still in progress, and it began before any run at the gates that the
+// call was offered to since.
 void Entry::reattach(CallerId Caller, PendingCall &Call, TimePoint Now) {
   DetachedRun Run = *std::exchange(Call.Detached, std::nullopt);
   this->DetachedBySeq.erase(Run.Id.Seq);
@@ -209,7 +210,7 @@
       Now >= Call.Deadline)
     return false;
   if (Call.Detached->Queried) {
-    // The gate that was offered the call has refused it or is unreachable.
+    // The gate that the call was offered to has refused it or is unreachable.
     this->leaveGate(Caller, Call, /*Answered=*/true, Now);
     this->reattach(Caller, Call, Now);
     return true;
@@ -324,7 +325,8 @@
   }
 }
 
-// A lost gate is not chosen for calls, so no call would detect that it is back.
+// Reconnects to a lost gate for which no call is waiting. A lost gate is not
+// chosen for calls, so no call would detect that it is back.
 void Entry::redial(const std::string &Gate, GateLink &Link, TimePoint Now) {
   bool Due = Link.LostAt && !Link.Up && !Link.ConnectingSince &&
              Link.Calls.empty() &&
--- a/src/calls/EntryTest.cpp
+++ b/src/calls/EntryTest.cpp
@@ -342,10 +342,10 @@
   BOOST_TEST(this->opens().size() == 1u);
 }
 
-// A route allows five attempts. After three upstreams have crashed under one
-// call its request is in quarantine, although this node may not know it yet, so
-// the call ends. A call that ran beside such crashes by chance has an answer by
-// then.
+// A route allows five attempts. After three upstreams have crashed while
+// running one call its request is in quarantine, although this node may not
+// know it yet, so the call must end. A call that did not cause the crashes and
+// only happened to run at the same time has been answered by then.
 BOOST_AUTO_TEST_CASE(ThreeCrashesEndACall) {
   EntryFixture Test(/*FleetRetryReserve=*/100);
   Test.setGates({"g-1", "g-2", "g-3", "g-4"});
--- a/src/calls/Gate.h
+++ b/src/calls/Gate.h
@@ -131,7 +131,7 @@
             [](const std::vector<Quarantine::RunningRequest> &, TimePoint) {};
     /// Queries the upstream's health endpoint at this path, or at the default
     /// one if the path is empty. The owner calls upstreamReported() with the
-    /// result within the cold start limiter's query interval, or never.
+    /// result within ColdStartLimiter::Options::QueryInterval, or never.
     std::function<void(const std::string &Path)> QueryHealth =
         [](const std::string &) {};
     /// Checks whether the upstream accepts connections; the owner then calls
@@ -277,7 +277,8 @@
 
     explicit CallRecord(uint64_t Window) : AnswerBody(Window) {}
 
-    /// Whether the upstream has received, and so run, nothing of the call yet.
+    /// Whether the upstream has received nothing of the call yet, and so has
+    /// not run any part of it.
     bool isUnstarted() const {
       return this->Phase == State::Waiting || this->Phase == State::Admitted;
     }
--- a/src/calls/GateCallsTest.cpp
+++ b/src/calls/GateCallsTest.cpp
@@ -69,9 +69,10 @@
   BOOST_TEST(findHeader(Headers, "Budget") == "1000");
 }
 
-// Guards against a gate that admits fewer calls after an upstream with free
-// slots sheds some. Nine calls still run at once, as many as the instance list
-// states, however many were shed before.
+// Guards against a gate that admits fewer calls because its upstream fails half
+// of its calls by shedding them although it has free slots; the callers of the
+// other half would be refused. Nine calls still run at once, as many as the
+// instance list states, however many were shed before.
 BOOST_FIXTURE_TEST_CASE(ShedCallsDoNotReduceListedSlots, Fixture) {
   this->listSlots(9);
   ResponseHead Shed;
--- a/src/calls/GateUpstream.cpp
+++ b/src/calls/GateUpstream.cpp
@@ -1,9 +1,10 @@
 #include "calls/Gate.h"
 
 // Handling of the upstream's answers. An answer is passed on to the entry
-// unchanged, except for statuses that promise that the call did not run. If the
-// upstream marks such an answer, the call is reported as not run; if it does
-// not, the status proves nothing and the outcome is reported as unknown.
+// unchanged, except for statuses that promise that the call did not run, if the
+// deployment has a header field that marks such answers. If the upstream marks
+// the answer, the call is reported as not run; if it does not, the status
+// proves nothing and the outcome is reported as unknown.
 
 namespace hickorylift {
 
