--- a/src/calls/EntryLinks.cpp
+++ b/src/calls/EntryLinks.cpp
@@ -129,9 +129,9 @@
     this->cancel(Run.Gate, Run.Id.Seq, "caller-gone");
 }
 
-// Moves the call back to its detached run. The first gate has reported that the
-// run is still in progress, and it began before any run at the gates that the
-// call was offered to since.
+// Moves the call back to its detached run, which began before any run at the
+// gates that the call was offered to since. The run's gate has reported that it
+// is still in progress, or has been asked and has not replied yet.
 void Entry::reattach(CallerId Caller, PendingCall &Call, TimePoint Now) {
   DetachedRun Run = *std::exchange(Call.Detached, std::nullopt);
   this->DetachedBySeq.erase(Run.Id.Seq);
