--- a/src/calls/EntryLinks.cpp
+++ b/src/calls/EntryLinks.cpp
@@ -49,8 +49,8 @@
   Link.Incarnation = Hello.incarnation;
   Link.LostAt.reset();
   Link.NextPingAt = Now + this->Opts.PingInterval;
-  this->GateChooser.clearDraining(Gate);
-  this->GateChooser.markReachable(Gate);
+  this->Balancer.clearDraining(Gate);
+  this->Balancer.markReachable(Gate);
   this->settleAbandoned(Gate, Link, Now);
   for (CallerId Caller : std::set<CallerId>(Link.Calls)) {
     PendingCall *Found = this->findCall(Caller);
@@ -129,8 +129,9 @@
     this->cancel(Run.Gate, Run.Id.Seq, "caller-gone");
 }
 
-// Moves the call back to its detached run, which is still in progress at the
-// first gate and began before any run that the call was offered for since.
+// Moves the call back to its detached run, which began before any run at the
+// gates that the call was offered to since. The run's gate has reported that it
+// is still in progress, or has been asked and has not replied yet.
 void Entry::reattach(CallerId Caller, PendingCall &Call, TimePoint Now) {
   DetachedRun Run = *std::exchange(Call.Detached, std::nullopt);
   this->DetachedBySeq.erase(Run.Id.Seq);
@@ -143,7 +144,7 @@
   Call.Id = Run.Id;
   Call.AssignedAt = Call.SentAt = Now;
   this->CallerBySeq[Call.Id.Seq] = Caller;
-  this->GateChooser.recordStart(Run.Gate);
+  this->Balancer.recordStart(Run.Gate);
   this->Links[Run.Gate].Calls.insert(Caller);
   ++this->Counts.Resumed;
   this->logEvent("call-resumed", Call, Refusal(), Now);
@@ -152,7 +153,7 @@
 void Entry::linkDown(const std::string &Gate, TimePoint Now) {
   GateLink &Link = this->Links[Gate];
   if (Link.ConnectingSince)
-    this->GateChooser.markUnreachable(Gate, Now);
+    this->Balancer.markUnreachable(Gate, Now);
   Link.Up = false;
   Link.ConnectingSince.reset();
   this->loseLink(Gate, Link, Now);
@@ -209,7 +210,7 @@
       Now >= Call.Deadline)
     return false;
   if (Call.Detached->Queried) {
-    // The gate that was offered the call has refused it or is unreachable.
+    // The gate that the call was offered to has refused it or is unreachable.
     this->leaveGate(Caller, Call, /*Answered=*/true, Now);
     this->reattach(Caller, Call, Now);
     return true;
@@ -229,7 +230,7 @@
   Call.Id = Run.Id;
   Call.AssignedAt = Now;
   this->CallerBySeq[Call.Id.Seq] = Caller;
-  this->GateChooser.recordStart(Run.Gate);
+  this->Balancer.recordStart(Run.Gate);
   Link.Calls.insert(Caller);
   if (!Link.LostAt)
     Link.LostAt = Now;
@@ -242,7 +243,7 @@
                             TimePoint Now) {
   this->Hook.Close(Gate);
   if (Link.ConnectingSince)
-    this->GateChooser.markUnreachable(Gate, Now);
+    this->Balancer.markUnreachable(Gate, Now);
   Link.Up = false;
   Link.ConnectingSince.reset();
   this->loseLink(Gate, Link, Now);
@@ -313,7 +314,7 @@
 // were not sent yet go to another gate.
 void Entry::reassignWaitingCalls(const std::string &Gate, GateLink &Link,
                                  TimePoint Now) {
-  this->GateChooser.markUnreachable(Gate, Now);
+  this->Balancer.markUnreachable(Gate, Now);
   for (CallerId Caller : std::set<CallerId>(Link.Calls)) {
     PendingCall *Found = this->findCall(Caller);
     if (Found && Found->CurrentState == State::Connecting)
@@ -324,7 +325,8 @@
   }
 }
 
-// A lost gate is not chosen for calls, so no call would detect that it is back.
+// Reconnects to a lost gate for which no call is waiting. A lost gate is not
+// chosen for calls, so no call would detect that it is back.
 void Entry::redial(const std::string &Gate, GateLink &Link, TimePoint Now) {
   bool Due = Link.LostAt && !Link.Up && !Link.ConnectingSince &&
              Link.Calls.empty() &&
